--- a/src/ridgesill/app/control_process.py
+++ b/src/ridgesill/app/control_process.py
@@ -128,7 +128,7 @@
 
     def _report_usage(self) -> UsageReport:
         """Returns what the fronts use that ask here for news."""
-        return self.owner.relay.report()
+        return self.owner.relay.make_usage_report()
 
     def _note_state(self) -> None:
         table = read_newer_table(self.control.state, self.owner.table)
--- a/src/ridgesill/app/fleet_client.py
+++ b/src/ridgesill/app/fleet_client.py
@@ -16,7 +16,7 @@
 )
 from ridgesill.core.fleet.registry import FleetView
 from ridgesill.core.fleet.usage import UsageReport
-from ridgesill.core.fleet.use_reports import ReportsToTell
+from ridgesill.core.fleet.use_reports import OutgoingReports
 from ridgesill.ports.peers import PeerError, Peers
 
 # How long the owner holds a question without news, in seconds.
@@ -83,7 +83,7 @@
         self._others = tuple(others)
         self._relay = relay
         # What was sent under rates and no node has taken yet.
-        self.reports = ReportsToTell()
+        self.reports = OutgoingReports()
         self._relay_from = float("-inf")
         self._relay_pause = _RELAY_PAUSE
         self._loop = asyncio.get_running_loop()
@@ -137,7 +137,7 @@
     async def _ask(self, address: str, margin: float = _MARGIN) -> bool:
         usage = self._usage() if self._usage else UsageReport(fronts=0)
         self.reports.add(usage.sent)
-        reports = self.reports.address(address, self._loop.time())
+        reports = self.reports.make_reports(address, self._loop.time())
         question = WatchFleet(
             self.view.epoch,
             self.view.number,
@@ -159,13 +159,13 @@
         except PeerError as error:
             self._note_touch(False, address, str(error))
             return False
-        self.reports.settle(address, reports, news.taken)
+        self.reports.handle_answer(address, reports, news.taken)
         if not news.epoch:
             self._note_touch(False, address, "it does not own the fleet")
             return False
         self._note_touch(True, address, "")
         self._note_reported(address)
-        self.view.take(news, self._loop.time())
+        self.view.apply_news(news, self._loop.time())
         for news_watcher in self._news_watchers:
             news_watcher(news)
         for watcher in self._watchers:
--- a/src/ridgesill/app/fleet_engines.py
+++ b/src/ridgesill/app/fleet_engines.py
@@ -116,7 +116,7 @@
         number = registry.number
         known = registry.upstreams.get(heartbeat.name)
         before = registry.find(heartbeat.identity)
-        if not registry.hear(heartbeat, now):
+        if not registry.handle_heartbeat(heartbeat, now):
             return
         upstream = registry.upstreams[heartbeat.name]
         if known is None or known.state != upstream.state:
@@ -145,7 +145,7 @@
         registry = self.registry
         if registry is None:
             return
-        name = registry.leave(leave.name, leave.start, self._now())
+        name = registry.handle_leave(leave.name, leave.start, self._now())
         engine = self._placement.engines.get(name)
         if engine is not None:
             engine.draining = True
--- a/src/ridgesill/app/fleet_loads.py
+++ b/src/ridgesill/app/fleet_loads.py
@@ -18,7 +18,11 @@
 from ridgesill.core.fleet.backlog import Backlogs
 from ridgesill.core.fleet.engines import Engine
 from ridgesill.core.fleet.health import EngineHealth
-from ridgesill.core.fleet.lateness import count_late, load_seconds, make_waiter
+from ridgesill.core.fleet.lateness import (
+    expected_late_count,
+    load_seconds,
+    make_waiter,
+)
 from ridgesill.core.fleet.messages import (
     COPY_IS_SOONER,
     ArtifactReady,
@@ -137,7 +141,7 @@
 
     def tend(self, service: str, models: tuple[str, ...]) -> None:
         """Brings base models, copies and new versions to engines."""
-        self._upkeep.tend(service, models)
+        self._upkeep.maintain(service, models)
 
     # -- wants ---------------------------------------------------------
 
@@ -190,7 +194,7 @@
         engines = awake or engines
         names = [engine.name for engine in engines]
         fronts = self._view.fronts()
-        out = self._health.find_out(names, fronts, self._loop.time())
+        out = self._health.find_ejected(names, fronts, self._loop.time())
         return [engine for engine in engines if engine.name not in out]
 
     def _is_held_out_of_use(self, want: WantArtifact) -> bool:
@@ -220,8 +224,10 @@
         rank = rank_want(want, engine, self._backlogs)
         first = predict_first(want, engine, self._backlogs, now)
         seconds = self._backlogs.read_seconds(engine.name, want.tokens)
-        self._backlogs.begin(engine.name, want.request, want.tokens, rank, now)
-        self._health.note_assigned(engine.name, now)
+        self._backlogs.record_sent(
+            engine.name, want.request, want.tokens, rank, now
+        )
+        self._health.record_assigned(engine.name, now)
         held = engine.held[want.artifact]
         held.handed_at = now
         return ArtifactReady(
@@ -344,7 +350,7 @@
             self._view.busy(),
             self._view.using,
             self._is_settled,
-            lambda engine: self._backlogs.backlog(engine, now),
+            lambda engine: self._backlogs.backlog_seconds(engine, now),
         )
         engines = self._engines_in_use(service)
         # What a limited engine loads it could serve to few.
@@ -374,7 +380,7 @@
             want.artifact,
             want.data_centre,
             avoid,
-            lateness=lambda engine: count_late(
+            lateness=lambda engine: expected_late_count(
                 waiting, engine, self._backlogs, now
             ),
         )
@@ -400,7 +406,7 @@
         seconds = self._backlogs.read_seconds(name, waiter.tokens)
         at = max(loading.loaded_at, now)
         rank = rank_request(seconds, waiter.goal_at - at)
-        self._backlogs.promise(name, waiter.request, waiter.tokens, rank, at)
+        self._backlogs.reserve(name, waiter.request, waiter.tokens, rank, at)
 
     async def _bring(self, loading: _Loading, choice: Choice) -> None:
         waiting = loading.waiting
--- a/src/ridgesill/app/fleet_owner.py
+++ b/src/ridgesill/app/fleet_owner.py
@@ -24,9 +24,9 @@
 from ridgesill.app.named_limits import LimitUse, NamedLimits
 from ridgesill.app.news_relay import (
     NewsRelay,
-    await_news,
-    read_report,
-    read_sent,
+    extract_sent,
+    extract_usage,
+    wait_for_news,
 )
 from ridgesill.app.order_holder import OrderHolder
 from ridgesill.app.order_lease_keeper import OrderLeaseKeeper
@@ -56,7 +56,7 @@
 )
 from ridgesill.core.fleet.registry import Registry
 from ridgesill.core.fleet.usage import Usage
-from ridgesill.core.fleet.use_reports import ReportsTaken, Sent, UseReport
+from ridgesill.core.fleet.use_reports import ReceivedReports, Sent, UseReport
 from ridgesill.core.serving.routes import RouteTable
 from ridgesill.ports.dialect import EngineCalls
 from ridgesill.ports.peers import PeerError
@@ -153,7 +153,7 @@
         self._usage = Usage()
         self._quotas = RateLedger(tolerance)
         self._limits = NamedLimits()
-        self._taken = ReportsTaken()
+        self._taken = ReceivedReports()
         self._backlogs = Backlogs()
         self._health = EngineHealth()
         self._orders = EngineOrders(
@@ -179,14 +179,14 @@
             self._orders,
             LoadsView(
                 self._engines.of_service,
-                self._usage.busy,
-                self._usage.artifacts,
+                self._usage.requests_by_upstream,
+                self._usage.artifacts_in_use,
                 self._have_fronts_told,
                 self._version,
                 self._engines.tell_resident,
                 self._usable_from,
                 self._count_fronts,
-                self._usage.rests_for_most,
+                self._usage.is_resting_for_most,
                 self._is_limited,
             ),
             self._backlogs,
@@ -280,14 +280,14 @@
         registry = Registry(epoch, self._patience)
         registry.adopt(self._follower.view.upstreams.values(), now)
         if not registry.upstreams:
-            registry.begin_empty(now)
+            registry.begin_settling(now)
         self._engines.begin(registry, blind=blind)
         view = self._follower.view
-        self._quotas.begin(view.quotas, view.known_at, now)
-        is_known = now - view.known_at < _MEMORY_SECONDS
+        self._quotas.restore(view.quotas, view.updated_at, now)
+        is_known = now - view.updated_at < _MEMORY_SECONDS
         self._uses_known_at = now + (0.0 if is_known else _USES_SECONDS)
-        self._limits.begin(view, now)
-        for sent in self._follower.reports.take_untold():
+        self._limits.restore(view, now)
+        for sent in self._follower.reports.take_unassigned():
             self._count(sent, now)
         self._news.note()
 
@@ -307,13 +307,13 @@
             return
         now = self._loop.time()
         self._engines.forget_silent()
-        self._usage.forget_silent(now)
-        self._taken.forget_silent(now)
-        self._quotas.note_fronts(self._usage.fronts, now)
-        self._limits.tend(self._usage.fronts, registry.upstreams, now)
-        self._backlogs.forget_lost(now)
-        self._backlogs.keep_only(set(registry.upstreams))
-        self._health.keep_only(set(registry.upstreams))
+        self._usage.prune_silent(now)
+        self._taken.prune_silent(now)
+        self._quotas.record_fronts(self._usage.fronts, now)
+        self._limits.update(self._usage.fronts, registry.upstreams, now)
+        self._backlogs.prune_lost(now)
+        self._backlogs.discard_except(set(registry.upstreams))
+        self._health.discard_except(set(registry.upstreams))
         self._channels.sweep()
         self._orders.forget_past()
         engines = self._placement.engines.values()
@@ -405,34 +405,34 @@
         """
         if self._usage.fronts < self._expect_fronts(self._loop.time()):
             return False
-        return self._usage.heard_since(at)
+        return self._usage.has_reports_since(at)
 
     async def handle_watch(
         self, sender: str, question: WatchFleet
     ) -> FleetNews:
         """Answers a front, a relay, or a node that may own the fleet next."""
         if not self.is_owner():
-            return await self.relay.answer(sender, question)
+            return await self.relay.handle_watch(sender, question)
         taken = self._note_front(sender, question)
-        await await_news(
+        await wait_for_news(
             lambda: self._has_news(question),
             self._news,
             question.wait,
-            self._usage.reporters,
+            self._usage.reporter_count,
         )
         if not self.is_owner() or self._registry is None:
             return FleetNews(0, taken=taken)
         now = self._loop.time()
-        news = self._registry.news(
+        news = self._registry.make_news(
             question,
             max(self._expect_fronts(now), 1),
-            self._usage.busy(),
+            self._usage.requests_by_upstream(),
             now,
         )
         return attrs.evolve(
             news,
             quotas=self._quotas.states(now),
-            limits=self._limits.tell(now),
+            limits=self._limits.current_limits(now),
             sends=self._limits.states(now),
             taken=taken,
             knows_uses=now >= self._uses_known_at,
@@ -442,20 +442,20 @@
         registry = self._registry
         if registry is None or self._limits.has_any():
             return True
-        if self._quotas.has_limited(self._loop.time()):
+        if self._quotas.has_limiting_rate(self._loop.time()):
             return True
         return registry.has_news(question.epoch, question.number)
 
     def _note_front(self, sender: str, question: WatchFleet) -> tuple[int, ...]:
         """Takes what an asker says; returns the reports that were taken."""
         now = self._loop.time()
-        self._usage.note(sender, read_report(question), now)
+        self._usage.record_report(sender, extract_usage(question), now)
         self._loads.note_report()
-        if self._limits.hear(question.limits, now):
+        if self._limits.apply_limits(question.limits, now):
             self._news.note()
         if question.used:
             self._placement.note_used(question.used, now)
-        return self._taken.take(
+        return self._taken.handle_reports(
             sender,
             question.reports,
             now,
@@ -465,15 +465,15 @@
 
     def _count_report(self, report: UseReport) -> None:
         now = self._loop.time()
-        self._count(read_sent(report, now), now)
-        if self._quotas.has_limited(now):
+        self._count(extract_sent(report, now), now)
+        if self._quotas.has_limiting_rate(now):
             self._news.note()
 
     def _count(self, sent: Sent, now: float) -> None:
         span = max(now - sent.since, 0.0)
-        for customer in self._quotas.note(sent.uses, now, span):
+        for customer in self._quotas.record_uses(sent.uses, now, span):
             log_message("fleet:absurd_report", customer=customer)
-        for upstream in self._limits.note(sent.sends, now, span):
+        for upstream in self._limits.record_sends(sent.sends, now, span):
             log_message("fleet:absurd_report", upstream=upstream)
 
     def list_limits(self) -> list[LimitUse]:
@@ -515,13 +515,13 @@
     ) -> None:
         """Notes that an engine has read a prompt, or never will."""
         now = self._loop.time()
-        self._backlogs.end(
+        self._backlogs.record_ended(
             ended.upstream, ended.request, now, was_read=ended.was_read
         )
         if ended.was_read:
-            self._health.note_served(ended.upstream, now)
+            self._health.record_served(ended.upstream, now)
         elif ended.failed:
-            self._health.note_failed(
+            self._health.record_failed(
                 ended.upstream, sender, now, unreachable=ended.unreachable
             )
 
--- a/src/ridgesill/app/fleet_upkeep.py
+++ b/src/ridgesill/app/fleet_upkeep.py
@@ -55,7 +55,7 @@
         self._spread_at: dict[str, float] = {}
         self._replace_since: dict[tuple[str, str], float] = {}
 
-    def tend(self, service: str, models: tuple[str, ...]) -> None:
+    def maintain(self, service: str, models: tuple[str, ...]) -> None:
         """Asks engines what they hold, and mends what they lack."""
         now = self._loop.time()
         orders_in = self._view.orders_from() - now
--- a/src/ridgesill/app/forwarding.py
+++ b/src/ridgesill/app/forwarding.py
@@ -559,7 +559,7 @@
             reason=failure.reason,
             not_run=failure.not_run,
             ejected=ejected,
-            view_age=round(now - self._front.fleet.view.known_at, 3),
+            view_age=round(now - self._front.fleet.view.updated_at, 3),
         )
         if failure.cut:
             self._suspect.note_cut(upstream)
--- a/src/ridgesill/app/front_process.py
+++ b/src/ridgesill/app/front_process.py
@@ -106,7 +106,9 @@
         self.front.chooser.note_news(self._loop.time())
         view = self.fleet.view
         if view.knows_uses:
-            self.front.quotas.take_news(view.quotas, view.fronts, view.known_at)
+            self.front.quotas.take_news(
+                view.quotas, view.fronts, view.updated_at
+            )
         else:
             self.front.quotas.note_fronts(view.fronts)
         self.front.limits.take_news(view)
@@ -153,7 +155,9 @@
     def is_ready(self) -> bool:
         """Whether the balancer should send new clients here."""
         view = self.fleet.view
-        is_in_touch = self._loop.time() - view.known_at < _OUT_OF_TOUCH_SECONDS
+        is_in_touch = (
+            self._loop.time() - view.updated_at < _OUT_OF_TOUCH_SECONDS
+        )
         return bool(
             self.front.table.version
             and view.epoch
@@ -240,7 +244,7 @@
                 lambda: self.front.table.version
             ),
             "ridgesill_view_age_seconds": (
-                lambda: min(self._loop.time() - view.known_at, 1e9)
+                lambda: min(self._loop.time() - view.updated_at, 1e9)
             ),
             "ridgesill_upstreams": lambda: len(view.upstreams),
             "ridgesill_fronts": lambda: view.fronts,
--- a/src/ridgesill/app/named_limits.py
+++ b/src/ridgesill/app/named_limits.py
@@ -63,15 +63,15 @@
         tolerance = Tolerance(_WINDOW_SECONDS, 0.0, 0.0)
         return RateLedger(tolerance, learns_offers=True)
 
-    def begin(self, view: FleetView, now: float) -> None:
+    def restore(self, view: FleetView, now: float) -> None:
         """Goes on from what an earlier owner told."""
         self._ledger = self._make_ledger()
         self._known = UpstreamLimits()
-        self._known.merge(view.limits, view.known_at)
+        self._known.merge(view.limits, view.updated_at)
         self._set_quotas(now)
-        self._ledger.begin(view.sends, view.known_at, now)
+        self._ledger.restore(view.sends, view.updated_at, now)
 
-    def hear(self, told: Mapping[str, NamedLimit], now: float) -> bool:
+    def apply_limits(self, told: Mapping[str, NamedLimit], now: float) -> bool:
         """Takes what fronts have heard; returns whether that is news."""
         if not told or not self._known.merge(told, now):
             return False
@@ -86,13 +86,15 @@
         self._set_quotas(now)
         return True
 
-    def note(self, sends: Uses, now: float, span: float) -> list[str]:
+    def record_sends(self, sends: Uses, now: float, span: float) -> list[str]:
         """Takes what fronts report; returns the upstreams of absurd sums."""
-        return self._ledger.note(sends, now, span)
+        return self._ledger.record_uses(sends, now, span)
 
-    def tend(self, fronts: int, upstreams: Collection[str], now: float) -> None:
+    def update(
+        self, fronts: int, upstreams: Collection[str], now: float
+    ) -> None:
         """Forgets limits that are over; called a few times a second."""
-        self._ledger.note_fronts(fronts, now)
+        self._ledger.record_fronts(fronts, now)
         if self._known:
             self._known.keep_only(upstreams, now)
             self._set_quotas(now)
@@ -109,7 +111,7 @@
         """Whether an upstream takes only so many requests now."""
         return self._known.rate(upstream, now) is not None
 
-    def tell(self, now: float) -> dict[str, NamedLimit]:
+    def current_limits(self, now: float) -> dict[str, NamedLimit]:
         """Returns the limits, to be told fronts."""
         return self._known.tell(now)
 
--- a/src/ridgesill/app/news_relay.py
+++ b/src/ridgesill/app/news_relay.py
@@ -10,7 +10,7 @@
 from ridgesill.core.fleet.messages import FleetNews, WatchFleet
 from ridgesill.core.fleet.relayed_news import RelayedNews
 from ridgesill.core.fleet.usage import Usage, UsageReport
-from ridgesill.core.fleet.use_reports import ReportsTaken, Sent, UseReport
+from ridgesill.core.fleet.use_reports import ReceivedReports, Sent, UseReport
 from ridgesill.core.serving.limits import UpstreamLimits
 
 # Least time between two answers with news to the same asker, in seconds, and
@@ -19,7 +19,7 @@
 _NEWS_SECONDS_AN_ASKER = 0.001
 
 
-async def await_news(
+async def wait_for_news(
     has_news: Callable[[], bool],
     changed: ChangeSignal,
     wait: float,
@@ -43,7 +43,7 @@
     await asyncio.sleep(max(began + spacing - loop.time(), 0.0))
 
 
-def read_report(question: WatchFleet) -> UsageReport:
+def extract_usage(question: WatchFleet) -> UsageReport:
     """Returns what an asker says of the fronts that it speaks for."""
     return UsageReport(
         question.used,
@@ -54,7 +54,7 @@
     )
 
 
-def read_sent(report: UseReport, now: float) -> Sent:
+def extract_sent(report: UseReport, now: float) -> Sent:
     """Returns what a report says was sent under rates."""
     return Sent(report.uses, report.sends, now - report.span)
 
@@ -70,7 +70,7 @@
         self._fleet = fleet
         self._usage = Usage()
         self._used: dict[str, int] = {}
-        self._taken = ReportsTaken()
+        self._taken = ReceivedReports()
         # That fronts here have heard upstreams name.
         self._limits = UpstreamLimits()
         self._news = RelayedNews(fleet.view)
@@ -80,42 +80,46 @@
         fleet.watch_news(self._take)
 
     def _take(self, news: FleetNews) -> None:
-        self._news.take(news)
+        self._news.apply_news(news)
         self._limits.keep_only(self._view.upstreams, self._loop.time())
         self._changed.note()
 
-    def report(self) -> UsageReport:
+    def make_usage_report(self) -> UsageReport:
         """Returns what the fronts here use, to be told the owner."""
         now = self._loop.time()
-        self._usage.forget_silent(now)
-        self._taken.forget_silent(now)
+        self._usage.prune_silent(now)
+        self._taken.prune_silent(now)
         used, self._used = self._used, {}
-        return self._usage.sum_up(used, self._limits.tell(now), now)
+        return self._usage.make_report(used, self._limits.tell(now), now)
 
-    async def answer(self, sender: str, question: WatchFleet) -> FleetNews:
+    async def handle_watch(
+        self, sender: str, question: WatchFleet
+    ) -> FleetNews:
         """Answers a front; epoch 0 says that it should ask the owner."""
         now = self._loop.time()
         is_current = self._news.is_current(now)
-        is_known = is_current and self._news.knows(question)
+        is_known = is_current and self._news.can_answer(question)
         taken = self._note_front(
             sender,
             question,
             accepts=is_known and not question.is_relayed,
         )
         if not question.epoch and not is_current:
-            return self._view.remembered(question)
-        if not self._news.knows(question):
+            return self._view.make_bootstrap_news(question)
+        if not self._news.can_answer(question):
             return FleetNews(0, taken=taken)
-        await await_news(
+        await wait_for_news(
             lambda: self._news.has_news(question),
             self._changed,
             question.wait,
-            self._usage.reporters,
+            self._usage.reporter_count,
         )
         now = self._loop.time()
-        if not self._news.is_current(now) or not self._news.knows(question):
+        if not self._news.is_current(now) or not self._news.can_answer(
+            question
+        ):
             return FleetNews(0, taken=taken)
-        return attrs.evolve(self._news.tell(question, now), taken=taken)
+        return attrs.evolve(self._news.make_news(question, now), taken=taken)
 
     def _note_front(
         self, sender: str, question: WatchFleet, *, accepts: bool
@@ -123,15 +127,15 @@
         """Takes what an asker says; returns the reports that were taken."""
         now = self._loop.time()
         if accepts or not question.is_front:
-            self._usage.note(sender, read_report(question), now)
+            self._usage.record_report(sender, extract_usage(question), now)
         if accepts:
             self._limits.merge(question.limits, now)
             for artifact, count in question.used.items():
                 self._used[artifact] = self._used.get(artifact, 0) + count
-        return self._taken.take(
+        return self._taken.handle_reports(
             sender,
             question.reports,
             now,
             accepts=accepts,
-            count=lambda r: self._fleet.reports.add(read_sent(r, now)),
+            count=lambda r: self._fleet.reports.add(extract_sent(r, now)),
         )
--- a/src/ridgesill/app/upstream_search.py
+++ b/src/ridgesill/app/upstream_search.py
@@ -170,7 +170,7 @@
         now = self._loop.time()
         staying = [
             upstream
-            for upstream in self._front.chooser.view.of_service(
+            for upstream in self._front.chooser.view.ready_upstreams(
                 self._terms.service
             )
             if self._front.chooser.takes_requests(upstream.name, now)
@@ -243,7 +243,7 @@
 
     def _are_upstreams_known(self) -> bool:
         view = self._front.chooser.view
-        return bool(view.of_service(self._terms.service))
+        return bool(view.ready_upstreams(self._terms.service))
 
     def _is_refused(self) -> bool:
         """Whether a request that no engine has seen is one too many."""
--- a/src/ridgesill/core/fleet/assignment.py
+++ b/src/ridgesill/core/fleet/assignment.py
@@ -50,7 +50,7 @@
 ) -> float:
     """Returns seconds until an engine would give the first event."""
     rank = rank_want(want, engine, backlogs)
-    wait = backlogs.wait(engine.name, rank, now)
+    wait = backlogs.wait_seconds(engine.name, rank, now)
     return wait + backlogs.read_seconds(engine.name, want.tokens)
 
 
--- a/src/ridgesill/core/fleet/backlog.py
+++ b/src/ridgesill/core/fleet/backlog.py
@@ -92,7 +92,7 @@
         """Returns how long the engines take to read a prompt on average."""
         return self._times.mean_seconds(tokens) + _STEP_SECONDS
 
-    def wait(
+    def wait_seconds(
         self, engine: str, rank: int, now: float, arrives_in: float = 0.0
     ) -> float:
         """Returns seconds until an engine would begin to read something new.
@@ -121,11 +121,11 @@
                 free_at = max(free_at, reading.sent_at) + reading.seconds
         return max(free_at - arrives_at, 0.0)
 
-    def backlog(self, engine: str, now: float) -> float:
+    def backlog_seconds(self, engine: str, now: float) -> float:
         """Returns seconds until an engine has read all that it was sent."""
-        return self.wait(engine, 9, now)
+        return self.wait_seconds(engine, 9, now)
 
-    def begin(
+    def record_sent(
         self, engine: str, request: str, tokens: int, rank: int, now: float
     ) -> None:
         """Notes a prompt that is sent to an engine."""
@@ -141,7 +141,7 @@
         seconds = self._times.seconds(engine, tokens)
         return Reading(tokens, seconds, rank, sent_at)
 
-    def promise(
+    def reserve(
         self, engine: str, request: str, tokens: int, rank: int, sent_at: float
     ) -> None:
         """Notes a prompt that will go to an engine once its adapter is there.
@@ -157,7 +157,7 @@
         for queue in self._queues.values():
             queue.promised.pop(request, None)
 
-    def end(
+    def record_ended(
         self, engine: str, request: str, now: float, *, was_read: bool
     ) -> None:
         """Notes a first event, or that none will come.
@@ -188,7 +188,7 @@
         if was_read or request == queue.current:
             queue.advance(now)
 
-    def forget_lost(self, now: float) -> None:
+    def prune_lost(self, now: float) -> None:
         """Forgets readings of which nothing will be heard."""
         for engine, queue in self._queues.items():
             total = sum(reading.seconds for reading in queue.sent.values())
@@ -197,7 +197,7 @@
                 if now - reading.sent_at > patience:
                     self._end(engine, request, now, was_read=False)
 
-    def keep_only(self, engines: set[str]) -> None:
+    def discard_except(self, engines: set[str]) -> None:
         """Forgets engines that are gone."""
         for name in list(self._queues):
             if name not in engines:
--- a/src/ridgesill/core/fleet/health.py
+++ b/src/ridgesill/core/fleet/health.py
@@ -72,13 +72,13 @@
         self._records: dict[str, _Record] = {}
         self._engines = 1
 
-    def note_assigned(self, engine: str, now: float) -> None:
+    def record_assigned(self, engine: str, now: float) -> None:
         """Notes a request that is sent to an engine."""
         record = self._records.get(engine)
         if record is not None:
             record.probed_at = now
 
-    def note_served(self, engine: str, now: float) -> None:
+    def record_served(self, engine: str, now: float) -> None:
         """Notes a first event."""
         record = self._records.get(engine)
         if record is None:
@@ -89,7 +89,7 @@
         if record.rate < _OUT_ABOVE / 2:
             record.times_out = 0
 
-    def note_failed(
+    def record_failed(
         self, engine: str, front: str, now: float, *, unreachable: bool
     ) -> None:
         """Notes a request that an engine failed.
@@ -123,7 +123,7 @@
         record = self._records.get(engine)
         return record.faded(now) if record else 0.0
 
-    def is_out(self, engine: str, now: float) -> bool:
+    def is_ejected(self, engine: str, now: float) -> bool:
         """Whether an engine should get no request now."""
         record = self._records.get(engine)
         if record is None:
@@ -134,7 +134,7 @@
         is_doubted = record.times_out > 0 and record.faded(now) > _OUT_ABOVE
         return is_probed and is_doubted
 
-    def find_out(
+    def find_ejected(
         self, engines: Sequence[str], fronts: int, now: float
     ) -> Collection[str]:
         """Returns the engines that should get no request now.
@@ -148,11 +148,11 @@
         """
         if fronts < _FRONTS_LEAST:
             return ()
-        out = [engine for engine in engines if self.is_out(engine, now)]
+        out = [engine for engine in engines if self.is_ejected(engine, now)]
         out.sort(key=lambda e: self.failure_rate(e, now), reverse=True)
         return set(out[: len(engines) // 2])
 
-    def keep_only(self, engines: Collection[str]) -> None:
+    def discard_except(self, engines: Collection[str]) -> None:
         """Takes which engines there are; forgets those that are gone."""
         self._engines = len(engines)
         for name in list(self._records):
--- a/src/ridgesill/core/fleet/lateness.py
+++ b/src/ridgesill/core/fleet/lateness.py
@@ -40,7 +40,7 @@
     return RELOAD_SECONDS if engine.had_lately(artifact) else LOAD_SECONDS
 
 
-def share_late(slack: float) -> float:
+def late_probability(slack: float) -> float:
     """Returns how likely a request is late.
 
     Args:
@@ -50,7 +50,7 @@
     return 1.0 / (1.0 + math.exp(spreads))
 
 
-def count_late(
+def expected_late_count(
     waiting: Waiting, engine: Engine, backlogs: Backlogs, now: float
 ) -> float:
     """Returns how many of those who wait would be late on an engine."""
@@ -61,7 +61,7 @@
         reading = backlogs.read_seconds(engine.name, waiter.tokens)
         left = waiter.goal_at - now - arrives_in
         rank = rank_request(reading, left)
-        wait = backlogs.wait(engine.name, rank, now, arrives_in)
+        wait = backlogs.wait_seconds(engine.name, rank, now, arrives_in)
         before += reading
-        late += share_late(left - wait - before)
+        late += late_probability(left - wait - before)
     return late
--- a/src/ridgesill/core/fleet/rate_ledger.py
+++ b/src/ridgesill/core/fleet/rate_ledger.py
@@ -212,7 +212,7 @@
             account.quota = quota
             account.level = min(account.level, quota.burst)
 
-    def begin(
+    def restore(
         self, states: Mapping[str, RateState], told_at: float, now: float
     ) -> None:
         """Goes on from what an earlier owner said last.
@@ -250,7 +250,7 @@
         """Returns the lowest level, from which a window is enough to return."""
         return -quota.rate * self._tolerance.window
 
-    def note_fronts(self, fronts: int, now: float) -> None:
+    def record_fronts(self, fronts: int, now: float) -> None:
         """Notes how many fronts report now."""
         is_old = now - self._fronts_most_at > _SILENT_SECONDS
         if fronts >= self._fronts_most or is_old:
@@ -274,7 +274,9 @@
         account.advance(rate, account.quota.burst, now)
         return rate
 
-    def note(self, uses: Uses, now: float, span: float = 0.0) -> list[str]:
+    def record_uses(
+        self, uses: Uses, now: float, span: float = 0.0
+    ) -> list[str]:
         """Takes what fronts report.
 
         Args:
@@ -325,7 +327,7 @@
             return 0.0
         return account.excuse(spent * unowned / span, unowned)
 
-    def has_limited(self, now: float) -> bool:
+    def has_limiting_rate(self, now: float) -> bool:
         """Whether some customer offers more than it may send."""
         return any(s.is_limiting for s in self.states(now).values())
 
--- a/src/ridgesill/core/fleet/registry.py
+++ b/src/ridgesill/core/fleet/registry.py
@@ -140,13 +140,13 @@
         self._at_address.remove(known.address, known.name)
         self._of_instance.remove(known.instance, known.name)
 
-    def begin_empty(self, now: float) -> None:
+    def begin_settling(self, now: float) -> None:
         """Notes that upstreams are there which nobody here has heard yet."""
         self._settled_at = now + self._patience
 
     # -- what upstreams say --------------------------------------------
 
-    def hear(self, heartbeat: Heartbeat, now: float) -> bool:
+    def handle_heartbeat(self, heartbeat: Heartbeat, now: float) -> bool:
         """Takes a heartbeat; returns False for one that is out of date."""
         name = heartbeat.name
         heard = self._heard.get(name)
@@ -230,14 +230,14 @@
         of_instance = self._of_instance.find(heartbeat.identity)
         for name in (*at_address, *of_instance):
             if name != heartbeat.name:
-                self.forget(name, now)
+                self.remove(name, now)
 
     def find(self, instance: str) -> Upstream | None:
         """Returns the start of an instance that is known."""
         names = self._of_instance.find(instance)
         return self.upstreams[names[0]] if names else None
 
-    def leave(self, instance: str, start: int, now: float) -> str:
+    def handle_leave(self, instance: str, start: int, now: float) -> str:
         """Notes that a start of an instance leaves.
 
         Args:
@@ -257,10 +257,10 @@
         if start and start < known.start:
             # A word of an earlier start, long on its way.
             return ""
-        self.drain(known.name, now)
+        self.mark_draining(known.name, now)
         return known.name
 
-    def drain(self, name: str, now: float) -> None:
+    def mark_draining(self, name: str, now: float) -> None:
         """Notes that an upstream leaves."""
         known = self.upstreams.get(name)
         if known is None:
@@ -270,7 +270,7 @@
             self.upstreams[name] = record
             self._note(UpstreamChange(name, record))
 
-    def forget(self, name: str, now: float) -> None:
+    def remove(self, name: str, now: float) -> None:
         """Forgets an upstream that is gone."""
         if self._remove(name):
             self._left[name] = now
@@ -314,7 +314,7 @@
                 self.upstreams[name] = record
                 self._note(UpstreamChange(name, record))
 
-    def silence(self, name: str, now: float) -> float:
+    def seconds_since_heartbeat(self, name: str, now: float) -> float:
         """Returns the seconds since an upstream was heard."""
         heard = self._heard.get(name)
         return now - heard.at if heard else float("inf")
@@ -345,7 +345,7 @@
         """Whether something has changed since a number."""
         return epoch != self.epoch or number < self.number
 
-    def news(
+    def make_news(
         self,
         question: WatchFleet,
         fronts: int,
@@ -394,7 +394,7 @@
     epoch: int = 0
     number: int = 0
     fronts: int = 1
-    known_at: float = float("-inf")
+    updated_at: float = float("-inf")
     upstreams: dict[str, Upstream] = attrs.Factory(dict)
     busy: dict[str, int] = attrs.Factory(dict)
     quotas: dict[str, RateState] = attrs.Factory(dict)
@@ -403,7 +403,7 @@
     knows_uses: bool = True
     _unconfirmed: set[str] = attrs.Factory(set)
 
-    def take(self, news: FleetNews, now: float) -> None:
+    def apply_news(self, news: FleetNews, now: float) -> None:
         """Takes what the owner answers."""
         if news.epoch < self.epoch:
             return
@@ -423,14 +423,14 @@
         self.limits = news.limits
         self.sends = news.sends
         self.knows_uses = news.knows_uses
-        self.known_at = now - news.age
+        self.updated_at = now - news.age
 
     def _forget_unconfirmed(self) -> None:
         for name in self._unconfirmed:
             self.upstreams.pop(name, None)
         self._unconfirmed.clear()
 
-    def confirmed(self) -> list[Upstream]:
+    def confirmed_upstreams(self) -> list[Upstream]:
         """Returns the upstreams that the owner of this epoch has named."""
         return [
             upstream
@@ -438,7 +438,7 @@
             if upstream.name not in self._unconfirmed
         ]
 
-    def remembered(self, question: WatchFleet) -> FleetNews:
+    def make_bootstrap_news(self, question: WatchFleet) -> FleetNews:
         """Tells a front that knows nothing what an earlier owner said."""
         if question.epoch or not self.epoch:
             return FleetNews(0)
@@ -466,7 +466,7 @@
         for artifact in change.removed:
             known.resident.pop(artifact, None)
 
-    def of_service(self, service: str) -> list[Upstream]:
+    def ready_upstreams(self, service: str) -> list[Upstream]:
         """Returns the upstreams of a service that take new work."""
         return [
             upstream
@@ -480,6 +480,6 @@
         """Returns those that hold an artifact in a version or a later one."""
         return [
             upstream
-            for upstream in self.of_service(service)
+            for upstream in self.ready_upstreams(service)
             if upstream.resident.get(artifact, -1) >= version
         ]
--- a/src/ridgesill/core/fleet/relayed_news.py
+++ b/src/ridgesill/core/fleet/relayed_news.py
@@ -42,7 +42,7 @@
             collections.deque(maxlen=_CHANGES_KEPT)
         )
 
-    def take(self, news: FleetNews) -> None:
+    def apply_news(self, news: FleetNews) -> None:
         """Takes what the owner has said, after the view has."""
         if news.epoch < self._epoch:
             return
@@ -58,9 +58,9 @@
 
     def is_current(self, now: float) -> bool:
         """Whether the owner has been heard lately."""
-        return now - self._view.known_at <= _STALE_SECONDS
+        return now - self._view.updated_at <= _STALE_SECONDS
 
-    def knows(self, question: WatchFleet) -> bool:
+    def can_answer(self, question: WatchFleet) -> bool:
         """Whether an asker's owner is known here."""
         return 0 < self._epoch >= question.epoch
 
@@ -74,9 +74,9 @@
             return True
         return question.number < self._number
 
-    def tell(self, question: WatchFleet, now: float) -> FleetNews:
+    def make_news(self, question: WatchFleet, now: float) -> FleetNews:
         """Returns what has changed since a question's number, or everything."""
-        age = max(now - self._view.known_at, 0.0)
+        age = max(now - self._view.updated_at, 0.0)
         is_whole = self._is_too_far_behind(question)
         return FleetNews(
             self._epoch,
@@ -106,5 +106,5 @@
     def _everything(self) -> tuple[UpstreamChange, ...]:
         return tuple(
             UpstreamChange(upstream.name, upstream)
-            for upstream in self._view.confirmed()
+            for upstream in self._view.confirmed_upstreams()
         )
--- a/src/ridgesill/core/fleet/sooner.py
+++ b/src/ridgesill/core/fleet/sooner.py
@@ -10,7 +10,11 @@
 from ridgesill.core.fleet.assignment import predict_first
 from ridgesill.core.fleet.backlog import Backlogs
 from ridgesill.core.fleet.engines import Engine
-from ridgesill.core.fleet.lateness import count_late, make_waiter, share_late
+from ridgesill.core.fleet.lateness import (
+    expected_late_count,
+    late_probability,
+    make_waiter,
+)
 from ridgesill.core.fleet.messages import WantArtifact
 from ridgesill.core.fleet.placement import Survey
 from ridgesill.core.fleet.wants import Waiting
@@ -39,13 +43,13 @@
             the holders are late, since it looks at all that engines hold.
     """
     first = predict_first(want, holder, backlogs, now)
-    late_there = share_late(want.goal - first)
+    late_there = late_probability(want.goal - first)
     if late_there < _COPY_GAIN:
         return False
     waiting = Waiting(want, now, [make_waiter(want, backlogs, now)])
 
     def lateness(engine: Engine) -> float:
-        return count_late(waiting, engine, backlogs, now)
+        return expected_late_count(waiting, engine, backlogs, now)
 
     survey = make_survey()
     # A copy takes only places to spare.
--- a/src/ridgesill/core/fleet/usage.py
+++ b/src/ridgesill/core/fleet/usage.py
@@ -61,11 +61,13 @@
         self._resting: collections.Counter[str] = collections.Counter()
 
     @property
-    def reporters(self) -> int:
+    def reporter_count(self) -> int:
         """How many processes report: fronts, and relays for theirs."""
         return len(self._reporters)
 
-    def note(self, reporter: str, report: UsageReport, now: float) -> None:
+    def record_report(
+        self, reporter: str, report: UsageReport, now: float
+    ) -> None:
         """Notes what a front uses, in place of what it said before."""
         self._subtract(reporter)
         if not report.fronts:
@@ -100,34 +102,34 @@
                 del self._sums[name]
                 del self._totals[name]
 
-    def forget_silent(self, now: float) -> None:
+    def prune_silent(self, now: float) -> None:
         """Forgets fronts that say nothing any more."""
         for name, reporter in list(self._reporters.items()):
             if now - reporter.heard_at > _HEARD_SECONDS:
                 self._subtract(name)
 
-    def heard_since(self, at: float) -> bool:
+    def has_reports_since(self, at: float) -> bool:
         """Whether every front has reported after a moment."""
         return all(r.reported_at > at for r in self._reporters.values())
 
-    def busy(self) -> dict[str, int]:
+    def requests_by_upstream(self) -> dict[str, int]:
         """Returns requests in progress by upstream."""
         return dict(self._totals)
 
-    def artifacts(self, upstream: str) -> set[str]:
+    def artifacts_in_use(self, upstream: str) -> set[str]:
         """Returns the artifacts in use on an upstream."""
         return set(self._sums.get(upstream, ()))
 
-    def resting(self) -> dict[str, int]:
+    def resting_fronts(self) -> dict[str, int]:
         """Returns at how many fronts each upstream wants no requests."""
         return dict(+self._resting)
 
-    def rests_for_most(self, upstream: str) -> bool:
+    def is_resting_for_most(self, upstream: str) -> bool:
         """Whether an upstream wants no requests from half of the fronts."""
         resting = self._resting[upstream]
         return resting > 0 and 2 * resting >= self.fronts
 
-    def sum_up(
+    def make_report(
         self,
         used: dict[str, int],
         limits: dict[str, NamedLimit],
@@ -147,7 +149,7 @@
             busy,
             self.fronts,
             max(ages, default=0.0),
-            self.resting(),
+            self.resting_fronts(),
             limits=limits,
             is_relayed=True,
         )
--- a/src/ridgesill/core/fleet/use_reports.py
+++ b/src/ridgesill/core/fleet/use_reports.py
@@ -16,7 +16,7 @@
 
 # After this long a report is dropped that nobody has taken, in seconds: it is
 # outside of the spans over which rates are judged.
-KEPT_SECONDS = 8.0
+MAX_REPORT_AGE_SECONDS = 8.0
 # What nobody has taken is kept apart by when it was sent, in seconds, so that
 # what is old can be dropped without the rest.
 _SLICE_SECONDS = 1.0
@@ -66,7 +66,7 @@
         )
 
 
-class ReportsToTell:
+class OutgoingReports:
     """A reporter's side: what no node has confirmed to have taken."""
 
     def __init__(self) -> None:
@@ -83,15 +83,15 @@
             known = self._untold.get(slice_number)
             self._untold[slice_number] = known.plus(sent) if known else sent
 
-    def take_untold(self) -> list[Sent]:
+    def take_unassigned(self) -> list[Sent]:
         """Returns what no node has been told, and forgets it here."""
         untold, self._untold = self._untold, {}
         return list(untold.values())
 
-    def address(self, node: str, now: float) -> tuple[UseReport, ...]:
+    def make_reports(self, node: str, now: float) -> tuple[UseReport, ...]:
         """Returns what a node is to be told now."""
         self._drop_old(now)
-        for sent in self.take_untold():
+        for sent in self.take_unassigned():
             self._number += 1
             self._told.setdefault(node, {})[self._number] = sent
         return tuple(
@@ -99,7 +99,7 @@
             for number, sent in self._told.get(node, {}).items()
         )
 
-    def settle(
+    def handle_answer(
         self, node: str, asked: Iterable[UseReport], taken: Collection[int]
     ) -> None:
         """Notes what a node has said of the reports that it was told.
@@ -117,16 +117,16 @@
 
     def _drop_old(self, now: float) -> None:
         for slice_number, sent in list(self._untold.items()):
-            if sent.since < now - KEPT_SECONDS:
+            if sent.since < now - MAX_REPORT_AGE_SECONDS:
                 del self._untold[slice_number]
         for node, told in list(self._told.items()):
             for number, sent in list(told.items()):
-                if sent.since < now - KEPT_SECONDS:
+                if sent.since < now - MAX_REPORT_AGE_SECONDS:
                     del told[number]
             if not told:
                 del self._told[node]
 
-    def count(self, name: str) -> int:
+    def total_spent(self, name: str) -> int:
         """Returns what is kept of a customer's use."""
         kept = list(self._untold.values())
         for told in self._told.values():
@@ -140,13 +140,13 @@
     decisions: collections.OrderedDict[int, bool]
 
 
-class ReportsTaken:
+class ReceivedReports:
     """A node's side: which reports it has taken."""
 
     def __init__(self) -> None:
         self._reporters: dict[str, _Reporter] = {}
 
-    def take(
+    def handle_reports(
         self,
         reporter: str,
         reports: Iterable[UseReport],
@@ -184,7 +184,7 @@
             known.decisions.popitem(last=False)
         return tuple(taken)
 
-    def forget_silent(self, now: float) -> None:
+    def prune_silent(self, now: float) -> None:
         """Forgets reporters that say nothing any more."""
         for name, known in list(self._reporters.items()):
             if now - known.heard_at > _REPORTER_SECONDS:
--- a/src/ridgesill/core/serving/choice.py
+++ b/src/ridgesill/core/serving/choice.py
@@ -140,7 +140,7 @@
 
     def load(self, service: str) -> float:
         """Returns requests in progress for each place of a service."""
-        upstreams = self.view.of_service(service)
+        upstreams = self.view.ready_upstreams(service)
         slots = sum(upstream.slots for upstream in upstreams)
         busy = sum(self.busy(upstream.name) for upstream in upstreams)
         return busy / slots if slots else 0.0
@@ -153,7 +153,7 @@
             return self.view.holders(
                 wanted.service, wanted.artifact, wanted.version
             )
-        return self.view.of_service(wanted.service)
+        return self.view.ready_upstreams(wanted.service)
 
     def choose(
         self,
@@ -203,7 +203,7 @@
         self, wanted: Wanted, candidates: list[Upstream], now: float
     ) -> list[Upstream]:
         """Leaves out ejected upstreams, but never over half of a service."""
-        everyone = self.view.of_service(wanted.service)
+        everyone = self.view.ready_upstreams(wanted.service)
         ejected = [u for u in everyone if self.outcomes.is_ejected(u.name, now)]
         if not ejected:
             return candidates
@@ -234,7 +234,7 @@
         """Returns the upstreams of a service that get no new requests now."""
         return [
             upstream.name
-            for upstream in self.view.of_service(service)
+            for upstream in self.view.ready_upstreams(service)
             if self.outcomes.is_ejected(upstream.name, now)
             or not self.unavailable.takes_requests(upstream.name, now)
         ]
@@ -249,5 +249,7 @@
         Returns:
             0 when one of the service takes requests now, or none rests.
         """
-        names = [upstream.name for upstream in self.view.of_service(service)]
+        names = [
+            upstream.name for upstream in self.view.ready_upstreams(service)
+        ]
         return self.unavailable.soonest(names, now)
--- a/src/ridgesill/core/serving/front_limits.py
+++ b/src/ridgesill/core/serving/front_limits.py
@@ -39,8 +39,8 @@
 
     def take_news(self, view: FleetView) -> None:
         """Takes what the owner says."""
-        self.known.merge(view.limits, view.known_at)
-        self.rates.take_news(view.sends, view.fronts, view.known_at)
+        self.known.merge(view.limits, view.updated_at)
+        self.rates.take_news(view.sends, view.fronts, view.updated_at)
 
     def untold(self, view: FleetView, now: float) -> dict[str, NamedLimit]:
         """Returns the limits of which the owner knows less."""
@@ -49,7 +49,7 @@
             for upstream, limit in self.known.tell(now).items()
             if upstream not in view.limits
             or self.known.has_later(
-                upstream, view.limits[upstream], view.known_at
+                upstream, view.limits[upstream], view.updated_at
             )
         }
 
--- a/src/ridgesill/standin/emulator/quotas.py
+++ b/src/ridgesill/standin/emulator/quotas.py
@@ -14,7 +14,7 @@
 import attrs
 
 from ridgesill.core.fleet.rate_ledger import RateLedger, Tolerance
-from ridgesill.core.fleet.use_reports import ReportsToTell, Sent, UseReport
+from ridgesill.core.fleet.use_reports import OutgoingReports, Sent, UseReport
 from ridgesill.core.serving.customers import Quota
 from ridgesill.core.serving.limits import make_quota
 from ridgesill.core.serving.rates import RateState, RateUse
@@ -163,7 +163,7 @@
     ) -> None:
         self.make = make
         self.part = make()
-        self.reports = ReportsToTell()
+        self.reports = OutgoingReports()
         self.has_news = True
         self.silences = silent
 
@@ -278,7 +278,7 @@
                 return
             since = front.part.used_since
             front.reports.add(Sent(front.part.take_uses(), {}, since))
-            reports = front.reports.address(_OWNER, now)
+            reports = front.reports.make_reports(_OWNER, now)
             self._reports += 1
             self._at(now + self._plan.way_seconds, self._hearer(front, reports))
 
@@ -289,14 +289,14 @@
     ) -> Callable[[float], None]:
         def hear(now: float) -> None:
             if not self._is_owned:
-                front.reports.settle(_OWNER, reports, ())
+                front.reports.handle_answer(_OWNER, reports, ())
                 return
             numbers = [report.number for report in reports]
-            front.reports.settle(_OWNER, reports, numbers)
-            self._ledger.note_fronts(self._count_heard(now), now)
+            front.reports.handle_answer(_OWNER, reports, numbers)
+            self._ledger.record_fronts(self._count_heard(now), now)
             for report in reports:
                 span = report.span + self._plan.way_seconds
-                self._ledger.note(report.uses, now, span)
+                self._ledger.record_uses(report.uses, now, span)
             self._told = self._ledger.states(now)
             self._told_at = now
             self._at(now + self._plan.way_seconds, self._teller(front, now))
@@ -326,7 +326,7 @@
         for front in self._fronts:
             if front.is_down(now):
                 front.part = front.make()
-                front.reports = ReportsToTell()
+                front.reports = OutgoingReports()
                 front.has_news = False
 
     def _lose_owner(self, now: float) -> None:
@@ -338,9 +338,9 @@
         self._owned_at = now
         self._ledger = self._make_ledger()
         if self._plan.owner_forgets:
-            self._ledger.begin({}, float("-inf"), now)
+            self._ledger.restore({}, float("-inf"), now)
         else:
-            self._ledger.begin(self._told, self._told_at, now)
+            self._ledger.restore(self._told, self._told_at, now)
         self._losses_left -= 1
         if self._losses_left:
             self._at(now + _BETWEEN_LOSSES_SECONDS, self._lose_owner)
--- a/testing/app/engine_world.py
+++ b/testing/app/engine_world.py
@@ -267,7 +267,7 @@
     def fail(self, engine: str, front: str) -> None:
         """Has a front tell that no channel to an engine came up."""
         now = self.loop.time()
-        self.health.note_failed(engine, front, now, unreachable=True)
+        self.health.record_failed(engine, front, now, unreachable=True)
 
     async def _deliver(
         self, order: FleetOrder, _authority: Authority
--- a/testing/app/front_world.py
+++ b/testing/app/front_world.py
@@ -242,7 +242,7 @@
             UpstreamChange(u.name, u) for u in view.upstreams.values()
         )
         changes = (*known, UpstreamChange(name, record))
-        view.take(FleetNews(1, view.number + 1, True, changes), 0.0)
+        view.apply_news(FleetNews(1, view.number + 1, True, changes), 0.0)
         self.front.limits.take_news(view)
         return upstream
 
--- a/testing/app/news_world.py
+++ b/testing/app/news_world.py
@@ -80,7 +80,7 @@
         self._places[name] = place
 
         def report() -> UsageReport:
-            return self.relays[name].report()
+            return self.relays[name].make_usage_report()
 
         client = FleetClient(
             CountedPeers(self, name), lambda: NAME, name, report
@@ -118,7 +118,7 @@
         """Has a node take a message."""
         if address == NAME:
             return await self.owning.owner.handle_watch(sender, message)
-        return await self.relays[address].answer(sender, message)
+        return await self.relays[address].handle_watch(sender, message)
 
     async def start(self, engines: int) -> None:
         """Starts all, with some engines that the owner has heard."""
--- a/testing/app/test_fleet_loads.py
+++ b/testing/app/test_fleet_loads.py
@@ -142,7 +142,7 @@
                 front = f"f{number}"
                 world.loop.call_later(0.4, world.fail, dark, front)
             else:
-                world.health.note_served(answer.upstream, now)
+                world.health.record_served(answer.upstream, now)
             await asyncio.sleep(1 / 12)
         return lost
 
--- a/testing/app/test_front_process.py
+++ b/testing/app/test_front_process.py
@@ -27,7 +27,7 @@
         made = object.__new__(FrontProcess)
         made._loop = asyncio.get_running_loop()
         made._draining = False
-        view = FleetView(epoch=3, known_at=known_at)
+        view = FleetView(epoch=3, updated_at=known_at)
         made.fleet = types.SimpleNamespace(view=view)  # type: ignore[assignment]
         table = RouteTable(7)
         made.front = types.SimpleNamespace(table=table)  # type: ignore[assignment]
--- a/testing/app/test_news_relay.py
+++ b/testing/app/test_news_relay.py
@@ -68,7 +68,7 @@
         await world.change(1.0, _CHANGES)
         usage = world.owning.owner._usage
         assert usage.fronts == _FRONTS
-        assert usage.busy() == {"e1": _FRONTS}
+        assert usage.requests_by_upstream() == {"e1": _FRONTS}
         front = world.clients["f1"]
         assert front.view.fronts == _FRONTS
         world.stop()
--- a/testing/app/test_ownerless_reports.py
+++ b/testing/app/test_ownerless_reports.py
@@ -33,7 +33,9 @@
         self.clients: dict[str, FleetClient] = {}
         for number in range(_CONTROLS):
             name = f"c{number}"
-            client = self._make(name, lambda n=name: self.relays[n].report())
+            client = self._make(
+                name, lambda n=name: self.relays[n].make_usage_report()
+            )
             self.relays[name] = NewsRelay(client)
         for number in range(_FRONTS):
             self._make(f"f{number}", UsageReport)
@@ -78,7 +80,7 @@
         """Returns a node's answer."""
         await asyncio.sleep(0.001)
         relay = self._world.relays[address]
-        return await relay.answer(self._name, message)
+        return await relay.handle_watch(self._name, message)
 
 
 class TestWithoutOwner:
@@ -89,7 +91,9 @@
         world.clients["f3"].reports.add(sent)
         for _ in range(30):
             await asyncio.sleep(0.1)
-            kept = [c.reports.count("alice") for c in world.clients.values()]
+            kept = [
+                c.reports.total_spent("alice") for c in world.clients.values()
+            ]
             assert sum(kept) == 1000
         world.stop()
 
@@ -97,6 +101,8 @@
         world = Ownerless()
         for _ in range(30):
             await asyncio.sleep(0.1)
-            fronts = [r.report().fronts for r in world.relays.values()]
+            fronts = [
+                r.make_usage_report().fronts for r in world.relays.values()
+            ]
             assert max(fronts) <= _FRONTS
         world.stop()
--- a/testing/app/test_upstream_words.py
+++ b/testing/app/test_upstream_words.py
@@ -189,7 +189,7 @@
         view = world.fleet.view
         record = attrs.evolve(view.upstreams["u1"])
         change = UpstreamChange("u1", record)
-        view.take(FleetNews(2, view.number + 1, True, (change,)), 0.0)
+        view.apply_news(FleetNews(2, view.number + 1, True, (change,)), 0.0)
         assert (await client.ask("/unsafe/x", b"b")).status == 503
         assert len(leaving.calls) == 1
 
--- a/testing/core/fleet/test_assignment.py
+++ b/testing/core/fleet/test_assignment.py
@@ -30,7 +30,7 @@
         for number in range(6):
             best = choose_holder(want(), engines, backlogs, 0.0)
             assert best is not None
-            backlogs.begin(best.name, f"r{number}", 9000, 3, 0.0)
+            backlogs.record_sent(best.name, f"r{number}", 9000, 3, 0.0)
             chosen.append(best.name)
         assert sorted(chosen) == ["e0", "e0", "e1", "e1", "e2", "e2"]
 
@@ -40,8 +40,8 @@
         for number in range(30):
             for name, seconds in (("slow", 0.6), ("fast", 0.2)):
                 at = float(number)
-                backlogs.begin(name, "r", 9000, 4, at)
-                backlogs.end(name, "r", at + seconds, was_read=True)
+                backlogs.record_sent(name, "r", 9000, 4, at)
+                backlogs.record_ended(name, "r", at + seconds, was_read=True)
         best = choose_holder(want(), engines, backlogs, 99.0)
         assert best is not None
         assert best.name == "fast"
@@ -57,7 +57,7 @@
         # mostly for 20 to 50 ms of a goal of 600.
         engines = [engine("far", "b"), engine("near", "a")]
         backlogs = Backlogs()
-        backlogs.begin("near", "r1", 650, 3, 0.0)
+        backlogs.record_sent("near", "r1", 650, 3, 0.0)
         best = choose_holder(want(650), engines, backlogs, 0.0)
         assert best is not None
         assert best.name == "near"
@@ -66,7 +66,7 @@
         engines = [engine("far", "b"), engine("near", "a")]
         backlogs = Backlogs()
         for number in range(2):
-            backlogs.begin("near", f"r{number}", 9000, 0, 0.0)
+            backlogs.record_sent("near", f"r{number}", 9000, 0, 0.0)
         best = choose_holder(want(goal=0.6), engines, backlogs, 0.0)
         assert best is not None
         assert best.name == "far"
--- a/testing/core/fleet/test_backlog.py
+++ b/testing/core/fleet/test_backlog.py
@@ -7,89 +7,91 @@
 
 class TestWait:
     def test_an_idle_engine_begins_at_once(self) -> None:
-        assert Backlogs().wait("e1", 5, 0.0) == 0.0
+        assert Backlogs().wait_seconds("e1", 5, 0.0) == 0.0
 
     def test_it_is_of_tokens_rather_than_requests(self) -> None:
         backlogs = Backlogs()
         for number in range(5):
-            backlogs.begin("short", f"s{number}", 600, 2, 0.0)
-        backlogs.begin("long", "l1", 9000, 2, 0.0)
-        assert backlogs.wait("short", 5, 0.0) < backlogs.wait("long", 5, 0.0)
+            backlogs.record_sent("short", f"s{number}", 600, 2, 0.0)
+        backlogs.record_sent("long", "l1", 9000, 2, 0.0)
+        assert backlogs.wait_seconds("short", 5, 0.0) < backlogs.wait_seconds(
+            "long", 5, 0.0
+        )
 
     def test_what_is_behind_counts_only_while_it_is_read(self) -> None:
         backlogs = Backlogs()
         for number in range(4):
-            backlogs.begin("e1", f"l{number}", 9000, 8, 0.0)
-        assert backlogs.wait("e1", 2, 0.0) == pytest.approx(0.3)
-        assert backlogs.wait("e1", 2, 0.2) == pytest.approx(0.1)
-        assert backlogs.wait("e1", 8, 0.0) == pytest.approx(1.2)
+            backlogs.record_sent("e1", f"l{number}", 9000, 8, 0.0)
+        assert backlogs.wait_seconds("e1", 2, 0.0) == pytest.approx(0.3)
+        assert backlogs.wait_seconds("e1", 2, 0.2) == pytest.approx(0.1)
+        assert backlogs.wait_seconds("e1", 8, 0.0) == pytest.approx(1.2)
 
     def test_it_shrinks_as_the_engine_reads(self) -> None:
         backlogs = Backlogs()
-        backlogs.begin("e1", "l1", 9000, 4, 0.0)
-        later = backlogs.wait("e1", 4, 0.2)
-        assert later == pytest.approx(backlogs.wait("e1", 4, 0.0) - 0.2)
-        backlogs.end("e1", "l1", 0.3, was_read=True)
-        assert backlogs.wait("e1", 4, 0.3) == 0.0
+        backlogs.record_sent("e1", "l1", 9000, 4, 0.0)
+        later = backlogs.wait_seconds("e1", 4, 0.2)
+        assert later == pytest.approx(backlogs.wait_seconds("e1", 4, 0.0) - 0.2)
+        backlogs.record_ended("e1", "l1", 0.3, was_read=True)
+        assert backlogs.wait_seconds("e1", 4, 0.3) == 0.0
 
     def test_a_front_that_is_gone_leaves_nothing_for_good(self) -> None:
         backlogs = Backlogs()
-        backlogs.begin("e1", "l1", 9000, 4, 0.0)
-        backlogs.forget_lost(3.0)
-        assert backlogs.backlog("e1", 3.0) >= 0.0
-        backlogs.forget_lost(10.0)
-        assert backlogs.backlog("e1", 10.0) == 0.0
+        backlogs.record_sent("e1", "l1", 9000, 4, 0.0)
+        backlogs.prune_lost(3.0)
+        assert backlogs.backlog_seconds("e1", 3.0) >= 0.0
+        backlogs.prune_lost(10.0)
+        assert backlogs.backlog_seconds("e1", 10.0) == 0.0
 
     def test_an_end_that_comes_twice_or_from_nowhere_is_passed_over(
         self,
     ) -> None:
         backlogs = Backlogs()
-        backlogs.end("e1", "unknown", 0.0, was_read=True)
-        backlogs.begin("e1", "l1", 9000, 4, 0.0)
-        backlogs.end("e1", "l1", 0.3, was_read=True)
-        backlogs.end("e1", "l1", 0.4, was_read=True)
-        assert backlogs.backlog("e1", 0.4) == 0.0
+        backlogs.record_ended("e1", "unknown", 0.0, was_read=True)
+        backlogs.record_sent("e1", "l1", 9000, 4, 0.0)
+        backlogs.record_ended("e1", "l1", 0.3, was_read=True)
+        backlogs.record_ended("e1", "l1", 0.4, was_read=True)
+        assert backlogs.backlog_seconds("e1", 0.4) == 0.0
 
     def test_one_that_left_before_it_was_told_counts_nowhere(self) -> None:
         backlogs = Backlogs()
-        backlogs.begin("e1", "l1", 9000, 4, 0.0)
-        backlogs.end("", "l1", 0.1, was_read=False)
-        assert backlogs.backlog("e1", 0.1) == 0.0
+        backlogs.record_sent("e1", "l1", 9000, 4, 0.0)
+        backlogs.record_ended("", "l1", 0.1, was_read=False)
+        assert backlogs.backlog_seconds("e1", 0.1) == 0.0
 
     def test_the_next_one_read_is_of_the_lowest_rank(self) -> None:
         backlogs = Backlogs()
-        backlogs.begin("e1", "first", 3000, 3, 0.0)
-        backlogs.begin("e1", "late", 30_000, 9, 0.0)
-        backlogs.begin("e1", "short", 600, 2, 0.0)
-        backlogs.end("e1", "first", 0.1, was_read=True)
+        backlogs.record_sent("e1", "first", 3000, 3, 0.0)
+        backlogs.record_sent("e1", "late", 30_000, 9, 0.0)
+        backlogs.record_sent("e1", "short", 600, 2, 0.0)
+        backlogs.record_ended("e1", "first", 0.1, was_read=True)
         # The short one is read now; the late one waits for all.
-        assert backlogs.wait("e1", 2, 0.1) == pytest.approx(0.02)
+        assert backlogs.wait_seconds("e1", 2, 0.1) == pytest.approx(0.02)
 
     def test_one_that_leaves_while_it_is_read_frees_the_engine(self) -> None:
         backlogs = Backlogs()
-        backlogs.begin("e1", "l1", 30_000, 3, 0.0)
-        backlogs.end("e1", "l1", 0.1, was_read=False)
-        assert backlogs.wait("e1", 3, 0.1) == 0.0
+        backlogs.record_sent("e1", "l1", 30_000, 3, 0.0)
+        backlogs.record_ended("e1", "l1", 0.1, was_read=False)
+        assert backlogs.wait_seconds("e1", 3, 0.1) == 0.0
 
 
 class TestPromises:
     def test_what_comes_before_is_ahead(self) -> None:
         backlogs = Backlogs()
-        backlogs.promise("e1", "l1", 9000, 3, 0.3)
-        assert backlogs.wait("e1", 3, 0.0, 0.3) > 0.0
-        assert backlogs.wait("e1", 3, 0.0) == 0.0
+        backlogs.reserve("e1", "l1", 9000, 3, 0.3)
+        assert backlogs.wait_seconds("e1", 3, 0.0, 0.3) > 0.0
+        assert backlogs.wait_seconds("e1", 3, 0.0) == 0.0
 
     def test_each_counts_once_when_it_is_sent(self) -> None:
         backlogs = Backlogs()
-        backlogs.promise("e1", "l1", 9000, 3, 0.3)
-        backlogs.begin("e1", "l1", 9000, 3, 0.3)
-        assert backlogs.wait("e1", 3, 0.3) == pytest.approx(0.3)
+        backlogs.reserve("e1", "l1", 9000, 3, 0.3)
+        backlogs.record_sent("e1", "l1", 9000, 3, 0.3)
+        assert backlogs.wait_seconds("e1", 3, 0.3) == pytest.approx(0.3)
 
     def test_one_that_leaves_counts_no_more(self) -> None:
         backlogs = Backlogs()
-        backlogs.promise("e1", "l1", 9000, 3, 0.3)
+        backlogs.reserve("e1", "l1", 9000, 3, 0.3)
         backlogs.release("l1")
-        assert backlogs.wait("e1", 3, 0.3) == 0.0
+        assert backlogs.wait_seconds("e1", 3, 0.3) == 0.0
 
 
 class TestRate:
@@ -100,9 +102,9 @@
         for number in range(60):
             for engine, speed in (("e1", rate), ("e2", 30_000)):
                 request = f"{engine}.{number}"
-                backlogs.begin(engine, request, 9000, 4, now)
+                backlogs.record_sent(engine, request, 9000, 4, now)
                 now += 9000 / speed + 0.02
-                backlogs.end(engine, request, now, was_read=True)
+                backlogs.record_ended(engine, request, now, was_read=True)
                 now += 0.1
         taken = backlogs.read_seconds("e1", 9000)
         assert taken == pytest.approx(9000 / rate + 0.02, rel=0.1)
@@ -112,8 +114,8 @@
         backlogs = Backlogs()
         now = 0.0
         for number in range(60):
-            backlogs.begin("e1", f"l{number}", 9000, 4, now)
+            backlogs.record_sent("e1", f"l{number}", 9000, 4, now)
             now += 9000 / 12_000 + 0.02
-            backlogs.end("e1", f"l{number}", now, was_read=True)
+            backlogs.record_ended("e1", f"l{number}", now, was_read=True)
         known = backlogs.read_seconds("e1", 9000)
         assert backlogs.read_seconds("e2", 9000) == pytest.approx(known)
--- a/testing/core/fleet/test_lateness.py
+++ b/testing/core/fleet/test_lateness.py
@@ -4,7 +4,7 @@
 
 from ridgesill.core.fleet.backlog import Backlogs
 from ridgesill.core.fleet.engines import Engine
-from ridgesill.core.fleet.lateness import count_late, share_late
+from ridgesill.core.fleet.lateness import expected_late_count, late_probability
 from ridgesill.core.fleet.messages import WantArtifact
 from ridgesill.core.fleet.wants import Waiter, Waiting
 from ridgesill.core.serving.routes import EngineSpec, Model
@@ -24,40 +24,48 @@
 
 class TestShareLate:
     def test_it_is_half_where_prediction_and_goal_meet(self) -> None:
-        assert share_late(0.0) == pytest.approx(0.5)
+        assert late_probability(0.0) == pytest.approx(0.5)
 
     @pytest.mark.parametrize("slack", [-1000.0, -0.5, 0.5, 1000.0])
     def test_far_from_the_goal_there_is_no_doubt(self, slack: float) -> None:
-        assert share_late(slack) == pytest.approx(float(slack < 0), abs=0.01)
+        assert late_probability(slack) == pytest.approx(
+            float(slack < 0), abs=0.01
+        )
 
 
 class TestCountLate:
     def test_an_idle_engine_is_in_time(self) -> None:
-        late = count_late(make_waiting(9000), make_engine(), Backlogs(), 0.0)
+        late = expected_late_count(
+            make_waiting(9000), make_engine(), Backlogs(), 0.0
+        )
         assert late < 0.2
 
     def test_one_that_reads_another_prompt_is_not(self) -> None:
         backlogs = Backlogs()
-        backlogs.begin("e1", "other", 15_000, 3, 0.0)
-        late = count_late(make_waiting(9000), make_engine(), backlogs, 0.0)
+        backlogs.record_sent("e1", "other", 15_000, 3, 0.0)
+        late = expected_late_count(
+            make_waiting(9000), make_engine(), backlogs, 0.0
+        )
         assert late > 0.5
 
     def test_nor_one_that_is_promised_another(self) -> None:
         backlogs = Backlogs()
-        backlogs.promise("e1", "other", 9000, 3, 0.3)
-        late = count_late(make_waiting(9000), make_engine(), backlogs, 0.0)
+        backlogs.reserve("e1", "other", 9000, 3, 0.3)
+        late = expected_late_count(
+            make_waiting(9000), make_engine(), backlogs, 0.0
+        )
         assert late > 0.5
 
     def test_those_who_wait_are_read_one_after_the_other(self) -> None:
         waiting = make_waiting(9000, 9000, 9000)
-        late = count_late(waiting, make_engine(), Backlogs(), 0.0)
+        late = expected_late_count(waiting, make_engine(), Backlogs(), 0.0)
         assert late > 1.5
 
     def test_what_the_engine_had_lately_comes_sooner(self) -> None:
         backlogs = Backlogs()
-        backlogs.begin("e1", "other", 9000, 3, 0.0)
+        backlogs.record_sent("e1", "other", 9000, 3, 0.0)
         engine = make_engine()
-        before = count_late(make_waiting(9000), engine, backlogs, 0.0)
+        before = expected_late_count(make_waiting(9000), engine, backlogs, 0.0)
         engine.note_left("m/a", 0.0)
-        late = count_late(make_waiting(4000), engine, backlogs, 0.0)
+        late = expected_late_count(make_waiting(4000), engine, backlogs, 0.0)
         assert late < before
--- a/testing/core/fleet/test_rate_ledger.py
+++ b/testing/core/fleet/test_rate_ledger.py
@@ -32,7 +32,7 @@
     def test_one_below_its_limit_is_not_named(self) -> None:
         ledger = make()
         for tenth in range(50):
-            ledger.note({"c": RateUse(60, 60)}, tenth / 10)
+            ledger.record_uses({"c": RateUse(60, 60)}, tenth / 10)
         assert ledger.states(5.0) == {}
 
     @pytest.mark.parametrize("usual", [0, 55])
@@ -45,7 +45,7 @@
         for tenth in range(300):
             offered = usual if tenth < 80 else 400
             spent = round(offered * share)
-            ledger.note({"c": RateUse(spent, offered)}, tenth / 10)
+            ledger.record_uses({"c": RateUse(spent, offered)}, tenth / 10)
             state = ledger.states(tenth / 10).get("c")
             share = state.share if state else 1.0
             passed.append(spent)
@@ -56,15 +56,15 @@
 
     def test_customers_without_a_limit_are_not_counted(self) -> None:
         ledger = make()
-        ledger.note({"other": RateUse(9, 9)}, 0.0)
+        ledger.record_uses({"other": RateUse(9, 9)}, 0.0)
         assert ledger.states(0.0) == {}
 
     def test_a_lowered_limit_binds_at_once(self) -> None:
         ledger = make()
         for tenth in range(30):
-            ledger.note({"c": RateUse(60, 60)}, tenth / 10)
+            ledger.record_uses({"c": RateUse(60, 60)}, tenth / 10)
         ledger.set_quotas({"c": Quota(100.0, 100.0, counts_tokens=True)})
-        ledger.note({"c": RateUse(60, 60)}, 3.0)
+        ledger.record_uses({"c": RateUse(60, 60)}, 3.0)
         assert ledger.states(3.0)["c"].share < 0.5
 
     @pytest.mark.parametrize(
@@ -76,22 +76,22 @@
         # Load pattern: a leader is lost for six seconds. Fronts let through
         # what the limit allows, and report all of it at once.
         ledger = make()
-        ledger.begin(states, 4.0, 10.0)
-        ledger.note({"c": RateUse(6000, 100)}, 10.1, 6.1)
-        ledger.note({"c": RateUse(100, 100)}, 10.2)
+        ledger.restore(states, 4.0, 10.0)
+        ledger.record_uses({"c": RateUse(6000, 100)}, 10.1, 6.1)
+        ledger.record_uses({"c": RateUse(100, 100)}, 10.2)
         state = ledger.states(10.3).get("c")
         assert state is None or state.share == 1
 
     def test_what_was_not_used_without_an_owner_is_not_kept(self) -> None:
         ledger = make()
-        ledger.begin({}, 4.0, 10.0)
-        ledger.note({"c": RateUse(100, 100)}, 10.1, 6.1)
-        ledger.note({"c": RateUse(3000, 3000)}, 13.0)
+        ledger.restore({}, 4.0, 10.0)
+        ledger.record_uses({"c": RateUse(100, 100)}, 10.1, 6.1)
+        ledger.record_uses({"c": RateUse(3000, 3000)}, 13.0)
         assert ledger.states(13.0)["c"].level < 0
 
     def test_a_new_owner_goes_on_from_the_last_word(self) -> None:
         ledger = make()
-        ledger.begin({"c": RateState(0.2, -700.0)}, 10.0, 10.0)
+        ledger.restore({"c": RateState(0.2, -700.0)}, 10.0, 10.0)
         assert ledger.states(10.0)["c"].level == -700
 
 
@@ -105,10 +105,10 @@
     def test_it_does_not_while_fronts_are_silent(self) -> None:
         ledger = RateLedger(Tolerance(slack=110_000.0))
         ledger.set_quotas({"c": SMALLEST})
-        ledger.note_fronts(10, 0.0)
-        ledger.note({"c": RateUse(60_000, 60_000)}, 0.0)
+        ledger.record_fronts(10, 0.0)
+        ledger.record_uses({"c": RateUse(60_000, 60_000)}, 0.0)
         heard_all = ledger.states(0.1)["c"].share
-        ledger.note_fronts(6, 0.2)
+        ledger.record_fronts(6, 0.2)
         assert ledger.states(0.2)["c"].share < heard_all
 
     def test_without_any_slack_it_fills_at_the_rate(self) -> None:
@@ -121,7 +121,7 @@
         ledger = RateLedger()
         ledger.set_quotas({f"c{n}": QUOTA for n in range(2_000)})
         uses = {f"c{n}": RateUse(9_000, 9_000) for n in range(2_000)}
-        ledger.note(uses, 0.0)
+        ledger.record_uses(uses, 0.0)
         first = ledger.states(1.0)
         assert all(ledger.states(1.0 + n / 1e4) is first for n in range(300))
         assert ledger.states(1.1) is not first
--- a/testing/core/fleet/test_relayed_news.py
+++ b/testing/core/fleet/test_relayed_news.py
@@ -31,21 +31,21 @@
 
     def follow(self, owner: Registry, now: float) -> None:
         """Asks the owner."""
-        news = owner.news(ask(self.view), 3, {"u1": 2}, now)
-        self.view.take(news, now)
-        self.news.take(news)
+        news = owner.make_news(ask(self.view), 3, {"u1": 2}, now)
+        self.view.apply_news(news, now)
+        self.news.apply_news(news)
 
     def tell(self, front: FleetView, now: float) -> FleetNews:
         """Answers a front."""
-        news = self.news.tell(ask(front), now)
-        front.take(news, now)
+        news = self.news.make_news(ask(front), now)
+        front.apply_news(news, now)
         return news
 
 
 class TestRelayedNews:
     def test_a_front_learns_what_the_owner_said(self) -> None:
         owner, relay, front = Registry(3, _PATIENCE), Relay(), FleetView()
-        owner.hear(heartbeat("u1", 1), 0.0)
+        owner.handle_heartbeat(heartbeat("u1", 1), 0.0)
         relay.follow(owner, 0.0)
         first = relay.tell(front, 0.0)
         assert first.whole
@@ -61,7 +61,7 @@
         owner, relay, front = Registry(3, _PATIENCE), Relay(), FleetView()
         relay.follow(owner, 1.0)
         assert abs(relay.tell(front, 1.4).age - 0.4) < 1e-9
-        assert abs(front.known_at - 1.0) < 1e-9
+        assert abs(front.updated_at - 1.0) < 1e-9
         assert relay.news.is_current(1.8)
         assert not relay.news.is_current(2.0)
 
@@ -77,7 +77,7 @@
         owner, front = Registry(3, _PATIENCE), FleetView()
         relays = [Relay(), Relay()]
         for number in range(1, 4):
-            owner.hear(heartbeat(f"u{number}", 1), 0.0)
+            owner.handle_heartbeat(heartbeat(f"u{number}", 1), 0.0)
         for relay in relays:
             relay.follow(owner, 0.0)
         for _ in range(60):
@@ -90,7 +90,7 @@
             if asked < 2:
                 relays[asked].tell(front, 0.0)
             else:
-                front.take(owner.news(ask(front), 3, {}, 0.0), 0.0)
+                front.apply_news(owner.make_news(ask(front), 3, {}, 0.0), 0.0)
         relays[0].follow(owner, 0.0)
         relays[0].tell(front, 0.0)
         assert front.number == owner.number
@@ -101,10 +101,10 @@
 
     def test_one_that_is_behind_takes_nothing_back(self) -> None:
         owner, relay, front = Registry(3, _PATIENCE), Relay(), FleetView()
-        owner.hear(heartbeat("u1", 1), 0.0)
+        owner.handle_heartbeat(heartbeat("u1", 1), 0.0)
         relay.follow(owner, 0.0)
         owner.set_resident("u1", {"m": 1, "m/a1": 1})
-        front.take(owner.news(ask(front), 3, {}, 0.0), 0.0)
+        front.apply_news(owner.make_news(ask(front), 3, {}, 0.0), 0.0)
         assert not relay.news.has_news(ask(front))
         news = relay.tell(front, 0.0)
         assert (news.whole, news.changes) == (False, ())
@@ -113,7 +113,7 @@
 
     def test_one_who_is_far_behind_gets_everything(self) -> None:
         owner, relay, front = Registry(3, _PATIENCE), Relay(), FleetView()
-        owner.hear(heartbeat("u1", 1), 0.0)
+        owner.handle_heartbeat(heartbeat("u1", 1), 0.0)
         relay.follow(owner, 0.0)
         relay.tell(front, 0.0)
         for number in range(1500):
@@ -124,10 +124,10 @@
     def test_another_owner_s_news_replace_the_earlier_one_s(self) -> None:
         relay, front = Relay(), FleetView()
         first, second = Registry(3, _PATIENCE), Registry(9, _PATIENCE)
-        first.hear(heartbeat("u1", 1), 0.0)
+        first.handle_heartbeat(heartbeat("u1", 1), 0.0)
         relay.follow(first, 0.0)
         relay.tell(front, 0.0)
-        second.hear(heartbeat("u2", 1), 0.5)
+        second.handle_heartbeat(heartbeat("u2", 1), 0.5)
         relay.follow(second, 0.5)
         assert relay.news.has_news(ask(front))
         assert relay.tell(front, 0.5).whole
@@ -137,18 +137,18 @@
         self,
     ) -> None:
         relay = Relay()
-        assert not relay.news.knows(WatchFleet(0, 0, 0.5))
+        assert not relay.news.can_answer(WatchFleet(0, 0, 0.5))
         relay.follow(Registry(3, _PATIENCE), 0.0)
-        assert relay.news.knows(WatchFleet(0, 0, 0.5))
-        assert not relay.news.knows(WatchFleet(9, 1, 0.5))
+        assert relay.news.can_answer(WatchFleet(0, 0, 0.5))
+        assert not relay.news.can_answer(WatchFleet(9, 1, 0.5))
 
     def test_what_a_new_owner_has_not_heard_yet_is_not_passed_on(self) -> None:
         relay, front = Relay(), FleetView()
         first, second = Registry(3, _PATIENCE), Registry(9, _PATIENCE)
-        first.hear(heartbeat("u1", 1), 0.0)
+        first.handle_heartbeat(heartbeat("u1", 1), 0.0)
         relay.follow(first, 0.0)
-        second.begin_empty(1.0)
-        second.hear(heartbeat("u2", 1), 1.0)
+        second.begin_settling(1.0)
+        second.handle_heartbeat(heartbeat("u2", 1), 1.0)
         relay.follow(second, 1.0)
         news = relay.tell(front, 1.0)
         assert [change.name for change in news.changes] == ["u2"]
--- a/testing/core/fleet/test_usage.py
+++ b/testing/core/fleet/test_usage.py
@@ -13,72 +13,82 @@
 class TestUsage:
     def test_fronts_add_up(self) -> None:
         usage = Usage()
-        usage.note("f1", report({"u1": {"m/a1": 2, "m/a2": 1}}), 0.0)
-        usage.note("f2", report({"u1": {"m/a1": 1}, "u2": {"": 4}}), 0.0)
-        assert usage.busy() == {"u1": 4, "u2": 4}
-        assert usage.artifacts("u1") == {"m/a1", "m/a2"}
+        usage.record_report("f1", report({"u1": {"m/a1": 2, "m/a2": 1}}), 0.0)
+        usage.record_report(
+            "f2", report({"u1": {"m/a1": 1}, "u2": {"": 4}}), 0.0
+        )
+        assert usage.requests_by_upstream() == {"u1": 4, "u2": 4}
+        assert usage.artifacts_in_use("u1") == {"m/a1", "m/a2"}
 
     def test_the_latest_word_counts(self) -> None:
         usage = Usage()
-        usage.note("f1", report({"u1": {"m/a1": 2}}), 0.0)
-        usage.note("f1", report({}), 1.0)
-        assert usage.busy() == {}
+        usage.record_report("f1", report({"u1": {"m/a1": 2}}), 0.0)
+        usage.record_report("f1", report({}), 1.0)
+        assert usage.requests_by_upstream() == {}
 
     def test_a_silent_front_uses_nothing(self) -> None:
         usage = Usage()
-        usage.note("f1", report({"u1": {"m/a1": 2}}), 0.0)
-        usage.forget_silent(5.0)
-        assert (usage.fronts, usage.busy()) == (0, {})
+        usage.record_report("f1", report({"u1": {"m/a1": 2}}), 0.0)
+        usage.prune_silent(5.0)
+        assert (usage.fronts, usage.requests_by_upstream()) == (0, {})
 
     def test_sums_are_right_after_any_order_of_reports(self) -> None:
         usage = Usage()
-        usage.note("f1", report({"u1": {"m/a1": 2}, "u2": {"": 1}}), 0.0)
-        usage.note("f2", report({"u1": {"m/a1": 1}}), 0.0)
-        usage.note("f1", report({"u2": {"": 3}}), 0.1)
-        assert usage.busy() == {"u1": 1, "u2": 3}
-        usage.note("f2", report({}), 0.2)
-        assert usage.busy() == {"u2": 3}
-        assert usage.artifacts("u1") == set()
+        usage.record_report(
+            "f1", report({"u1": {"m/a1": 2}, "u2": {"": 1}}), 0.0
+        )
+        usage.record_report("f2", report({"u1": {"m/a1": 1}}), 0.0)
+        usage.record_report("f1", report({"u2": {"": 3}}), 0.1)
+        assert usage.requests_by_upstream() == {"u1": 1, "u2": 3}
+        usage.record_report("f2", report({}), 0.2)
+        assert usage.requests_by_upstream() == {"u2": 3}
+        assert usage.artifacts_in_use("u1") == set()
 
 
 class TestRelays:
     def test_a_relay_counts_as_its_fronts(self) -> None:
         usage = Usage()
-        usage.note("f1", report({"u1": {"m/a1": 2}}), 0.0)
-        usage.note("r1", report({"u1": {"m/a1": 5}}, fronts=40), 0.0)
-        assert (usage.fronts, usage.reporters) == (41, 2)
-        assert usage.busy() == {"u1": 7}
+        usage.record_report("f1", report({"u1": {"m/a1": 2}}), 0.0)
+        usage.record_report("r1", report({"u1": {"m/a1": 5}}, fronts=40), 0.0)
+        assert (usage.fronts, usage.reporter_count) == (41, 2)
+        assert usage.requests_by_upstream() == {"u1": 7}
 
     def test_one_without_fronts_any_more_counts_for_nobody(self) -> None:
         usage = Usage()
-        usage.note("r1", report({"u1": {"m/a1": 5}}, fronts=40), 0.0)
-        usage.note("r1", report({}, fronts=0), 0.1)
-        assert (usage.fronts, usage.reporters, usage.busy()) == (0, 0, {})
+        usage.record_report("r1", report({"u1": {"m/a1": 5}}, fronts=40), 0.0)
+        usage.record_report("r1", report({}, fronts=0), 0.1)
+        assert (
+            usage.fronts,
+            usage.reporter_count,
+            usage.requests_by_upstream(),
+        ) == (0, 0, {})
 
     def test_its_word_is_as_old_as_that_of_its_fronts(self) -> None:
         usage = Usage()
-        usage.note("r1", report({}, fronts=40, age=0.4), 10.0)
-        assert not usage.heard_since(9.7)
-        assert usage.heard_since(9.5)
+        usage.record_report("r1", report({}, fronts=40, age=0.4), 10.0)
+        assert not usage.has_reports_since(9.7)
+        assert usage.has_reports_since(9.5)
 
     def test_a_slow_front_does_not_make_its_relay_gone(self) -> None:
         usage = Usage()
-        usage.note("r1", report({}, fronts=40, age=1.9), 10.0)
-        usage.forget_silent(10.5)
+        usage.record_report("r1", report({}, fronts=40, age=1.9), 10.0)
+        usage.prune_silent(10.5)
         assert usage.fronts == 40
 
     def test_the_sum_of_reports_is_a_report(self) -> None:
         relay = Usage()
-        relay.note("f1", report({"u1": {"m/a1": 2}}), 1.0)
-        relay.note("f2", report({"u1": {"m/a1": 1}, "u2": {"": 4}}), 1.2)
-        summed = relay.sum_up({"m/a1": 3}, {}, 1.5)
+        relay.record_report("f1", report({"u1": {"m/a1": 2}}), 1.0)
+        relay.record_report(
+            "f2", report({"u1": {"m/a1": 1}, "u2": {"": 4}}), 1.2
+        )
+        summed = relay.make_report({"m/a1": 3}, {}, 1.5)
         assert summed.used == {"m/a1": 3}
         assert summed.busy == {"u1": {"m/a1": 3}, "u2": {"": 4}}
         assert summed.fronts == 2
         assert abs(summed.age - 0.5) < 1e-9
 
     def test_without_fronts_there_is_nothing_to_say(self) -> None:
-        summed = Usage().sum_up({}, {}, 1.5)
+        summed = Usage().make_report({}, {}, 1.5)
         assert (summed.fronts, summed.busy, summed.age) == (0, {}, 0.0)
 
 
@@ -86,12 +96,12 @@
     def test_an_upstream_that_most_fronts_must_leave_alone_shows(self) -> None:
         usage = Usage()
         for front in ("f1", "f2", "f3"):
-            usage.note(front, UsageReport(), 0.0)
-        usage.note("f1", UsageReport(resting={"e1": 1}), 0.0)
-        assert not usage.rests_for_most("e1")
-        usage.note("f2", UsageReport(resting={"e1": 1}), 0.0)
-        assert usage.rests_for_most("e1")
-        assert usage.sum_up({}, {}, 0.0).resting == {"e1": 2}
-        usage.note("f1", UsageReport(), 0.1)
-        assert not usage.rests_for_most("e1")
-        assert not usage.rests_for_most("e2")
+            usage.record_report(front, UsageReport(), 0.0)
+        usage.record_report("f1", UsageReport(resting={"e1": 1}), 0.0)
+        assert not usage.is_resting_for_most("e1")
+        usage.record_report("f2", UsageReport(resting={"e1": 1}), 0.0)
+        assert usage.is_resting_for_most("e1")
+        assert usage.make_report({}, {}, 0.0).resting == {"e1": 2}
+        usage.record_report("f1", UsageReport(), 0.1)
+        assert not usage.is_resting_for_most("e1")
+        assert not usage.is_resting_for_most("e2")
--- a/testing/core/fleet/test_use_reports.py
+++ b/testing/core/fleet/test_use_reports.py
@@ -13,9 +13,9 @@
 from hypothesis import strategies as st
 
 from ridgesill.core.fleet.use_reports import (
-    KEPT_SECONDS,
-    ReportsTaken,
-    ReportsToTell,
+    MAX_REPORT_AGE_SECONDS,
+    OutgoingReports,
+    ReceivedReports,
     Sent,
     UseReport,
 )
@@ -44,8 +44,8 @@
         self.fronts = [f"f{n}" for n in range(fronts)]
         self.relays = [f"r{n}" for n in range(relays)]
         names = [*self.fronts, *self.relays]
-        self.telling = {name: ReportsToTell() for name in names}
-        self.taking = {name: ReportsTaken() for name in self.relays}
+        self.telling = {name: OutgoingReports() for name in names}
+        self.taking = {name: ReceivedReports() for name in self.relays}
         self.owner = ""
         self.now = 0.0
         self.sent = 0
@@ -64,7 +64,7 @@
             node: whom.
             fate: of the question: `answered`, `lost`, `unanswered` or `late`.
         """
-        reports = self.telling[sender].address(node, self.now)
+        reports = self.telling[sender].make_reports(node, self.now)
         message = Message(sender, node, reports)
         if fate in ("lost", "late"):
             if fate == "late":
@@ -72,7 +72,7 @@
             return
         taken = self.arrive(message)
         if fate == "answered":
-            self.telling[sender].settle(node, reports, taken)
+            self.telling[sender].handle_answer(node, reports, taken)
 
     def arrive(self, message: Message) -> tuple[int, ...]:
         node = message.node
@@ -87,7 +87,7 @@
 
         # A relay takes reports only while it hears an owner.
         accepts = is_owner or bool(self.owner)
-        return self.taking[node].take(
+        return self.taking[node].handle_reports(
             message.sender,
             message.reports,
             self.now,
@@ -99,20 +99,20 @@
         """Makes a node the owner, or nobody."""
         self.owner = node
         if node:
-            for untold in self.telling[node].take_untold():
+            for untold in self.telling[node].take_unassigned():
                 self.counted += untold.uses[_NAME].spent
 
     def kept(self) -> int:
         """Returns what is kept and no node has taken."""
         total = 0
         for name, telling in self.telling.items():
-            total += telling.count(_NAME)
+            total += telling.total_spent(_NAME)
             for node in self.relays:
                 total -= self._taken_unheard(name, telling, node)
         return total
 
     def _taken_unheard(
-        self, sender: str, telling: ReportsToTell, node: str
+        self, sender: str, telling: OutgoingReports, node: str
     ) -> int:
         told = telling._told.get(node, {})
         reporter = self.taking[node]._reporters.get(sender)
@@ -169,29 +169,29 @@
     def test_what_is_older_than_the_span_that_is_judged_is_dropped(
         self,
     ) -> None:
-        telling = ReportsToTell()
+        telling = OutgoingReports()
         telling.add(sent(100, since=0.0))
         telling.add(sent(30, since=5.0))
-        telling.address("owner", 1.0)
-        telling.address("owner", KEPT_SECONDS + 2.0)
-        assert telling.count(_NAME) == 30
+        telling.make_reports("owner", 1.0)
+        telling.make_reports("owner", MAX_REPORT_AGE_SECONDS + 2.0)
+        assert telling.total_spent(_NAME) == 30
 
     def test_a_report_tells_how_old_it_is(self) -> None:
-        telling = ReportsToTell()
+        telling = OutgoingReports()
         telling.add(sent(100, since=2.0))
-        (report,) = telling.address("owner", 5.0)
+        (report,) = telling.make_reports("owner", 5.0)
         assert report.span == pytest.approx(3.0)
 
     def test_refused_ones_go_on_under_another_number(self) -> None:
-        telling = ReportsToTell()
+        telling = OutgoingReports()
         telling.add(sent(100))
-        first = telling.address("a", 0.1)
-        telling.settle("a", first, ())
-        (second,) = telling.address("b", 0.2)
+        first = telling.make_reports("a", 0.1)
+        telling.handle_answer("a", first, ())
+        (second,) = telling.make_reports("b", 0.2)
         assert second.number > first[0].number
 
     def test_reporters_that_are_gone_are_forgotten(self) -> None:
-        taking = ReportsTaken()
-        taking.take("f", (), 0.0, accepts=True, count=print)
-        taking.forget_silent(100.0)
+        taking = ReceivedReports()
+        taking.handle_reports("f", (), 0.0, accepts=True, count=print)
+        taking.prune_silent(100.0)
         assert not taking._reporters
--- a/testing/core/serving/test_decisions.py
+++ b/testing/core/serving/test_decisions.py
@@ -26,7 +26,7 @@
     """Returns the choice of a front in data centre `a`."""
     view = FleetView()
     changes = tuple(Change(u.name, u) for u in upstreams)
-    view.take(FleetNews(1, 1, True, changes), 0.0)
+    view.apply_news(FleetNews(1, 1, True, changes), 0.0)
     return Chooser("a", view, Outcomes(), random.Random(1))
 
 
--- a/testing/core/serving/test_front_limits.py
+++ b/testing/core/serving/test_front_limits.py
@@ -18,7 +18,7 @@
     made = FrontLimits(random.Random(1), "front-1")
     made.note_word("u", rate, 0.0, 0.0)
     states = {} if share is None else {"u": RateState(share, 0.0)}
-    made.take_news(FleetView(fronts=fronts, known_at=0.0, sends=states))
+    made.take_news(FleetView(fronts=fronts, updated_at=0.0, sends=states))
     return made
 
 
@@ -127,7 +127,7 @@
 class TestTold:
     def test_the_owner_is_told_what_it_does_not_know(self) -> None:
         limits = make(None)
-        view = FleetView(known_at=0.1)
+        view = FleetView(updated_at=0.1)
         assert list(limits.untold(view, 0.2)) == ["u"]
         view.limits = limits.known.tell(0.1)
         assert limits.untold(view, 0.2) == {}
--- a/testing/platform/test_upstreams.py
+++ b/testing/platform/test_upstreams.py
@@ -51,11 +51,11 @@
         # the last one of before: for as long as the name was known it stayed
         # silent, and what it had held stayed in the books.
         registry = Registry(1, 5.0)
-        assert registry.hear(read_heartbeat("i-1", say()), 0.0)
+        assert registry.handle_heartbeat(read_heartbeat("i-1", say()), 0.0)
         again = say(born=2_000, sequence=1, models=[])
-        assert registry.hear(read_heartbeat("i-1", again), 1.0)
+        assert registry.handle_heartbeat(read_heartbeat("i-1", again), 1.0)
         late = read_heartbeat("i-1", say(sequence=51))
-        assert not registry.hear(late, 1.1)
+        assert not registry.handle_heartbeat(late, 1.1)
         assert [u.resident for u in registry.upstreams.values()] == [{}]
 
 
