--- a/src/ridgesill/app/control_process.py
+++ b/src/ridgesill/app/control_process.py
@@ -193,7 +193,7 @@
 
     @_take.register
     async def _(self, message: DeliverOrder, sender: str) -> Any:
-        return await self.owner.holder.handle(message)
+        return await self.owner.holder.handle_order(message)
 
     # -- running -------------------------------------------------------
 
--- a/src/ridgesill/app/engine_loads.py
+++ b/src/ridgesill/app/engine_loads.py
@@ -8,9 +8,14 @@
 from eliot import log_message
 
 from ridgesill.app.engine_orders import EngineOrders
-from ridgesill.core.fleet.engines import Engine, Held, Leaving, Pending
+from ridgesill.core.fleet.engines import (
+    Engine,
+    HeldArtifact,
+    PendingLoad,
+    PendingUnload,
+)
 from ridgesill.core.fleet.orders import Action, OrderVerdict
-from ridgesill.core.fleet.placement import Choice
+from ridgesill.core.fleet.placement import LoadTarget
 
 # What an adapter takes from the store while few are on their way (the users'
 # second letter), and where it was lately (their protocol: ten times faster).
@@ -82,20 +87,24 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def reserve(self, choice: Choice, artifact: str) -> None:
+    def reserve(self, choice: LoadTarget, artifact: str) -> None:
         """Takes a place, so that no other choice counts on it."""
         engine = choice.engine
-        engine.loading[artifact] = Pending(choice.victim)
+        engine.loading[artifact] = PendingLoad(choice.victim)
         if choice.victim:
             self.let_go(engine, choice.victim)
 
     def let_go(self, engine: Engine, artifact: str) -> None:
         """Has fronts send no more requests for what is to be unloaded."""
         held = engine.held.pop(artifact)
-        engine.leaving[artifact] = Leaving(self._loop.time(), held.version)
+        engine.unloading[artifact] = PendingUnload(
+            self._loop.time(), held.version
+        )
         self._view.tell(engine)
 
-    async def load(self, choice: Choice, artifact: str, version: int) -> bool:
+    async def load(
+        self, choice: LoadTarget, artifact: str, version: int
+    ) -> bool:
         """Unloads what gives way, loads, and waits until it is there."""
         engine = choice.engine
         try:
@@ -107,12 +116,12 @@
 
     async def unload(self, engine: Engine, artifact: str) -> bool:
         """Returns whether the place of an adapter let go is free now."""
-        verdict = await self._orders.give(Action.UNLOAD, engine, artifact)
+        verdict = await self._orders.send_order(Action.UNLOAD, engine, artifact)
         if verdict is OrderVerdict.HOLDS:
             self._note_unloaded(engine, artifact)
             return True
         if verdict is OrderVerdict.TAKEN:
-            engine.waits_for = artifact
+            engine.blocking_artifact = artifact
             self.spawn(self._await_unload(engine, artifact))
         elif verdict is OrderVerdict.REFUSED:
             # Certainly not done: it is still there.
@@ -120,22 +129,22 @@
         return False
 
     def _take_back(self, engine: Engine, artifact: str) -> None:
-        leaving = engine.leaving.pop(artifact, None)
+        leaving = engine.unloading.pop(artifact, None)
         if leaving is not None:
             now = self._loop.time()
-            engine.held[artifact] = Held(leaving.version, now, now)
+            engine.held[artifact] = HeldArtifact(leaving.version, now, now)
             self._view.tell(engine)
 
     def _note_unloaded(self, engine: Engine, artifact: str) -> None:
-        engine.leaving.pop(artifact, None)
-        engine.note_left(artifact, self._loop.time())
+        engine.unloading.pop(artifact, None)
+        engine.record_unloaded(artifact, self._loop.time())
 
     async def _await_unload(self, engine: Engine, artifact: str) -> None:
         """Waits for the runs of an adapter that is to leave."""
         began = self._loop.time()
         while self._loop.time() - began < _UNLOAD_MOST_SECONDS:
             await asyncio.sleep(_UNLOAD_POLL_SECONDS)
-            verdict = await self._orders.give(
+            verdict = await self._orders.send_order(
                 Action.UNLOAD, engine, artifact, again=True
             )
             if verdict is OrderVerdict.HOLDS:
@@ -143,14 +152,14 @@
                 break
             if verdict is OrderVerdict.MISDIRECTED:
                 break
-        if engine.waits_for == artifact:
-            engine.waits_for = ""
+        if engine.blocking_artifact == artifact:
+            engine.blocking_artifact = ""
 
     async def _order_load(
         self, engine: Engine, artifact: str, version: int
     ) -> bool:
         began = self._loop.time()
-        verdict = await self._orders.give(
+        verdict = await self._orders.send_order(
             Action.LOAD, engine, artifact, version
         )
         if verdict is OrderVerdict.HOLDS:
@@ -160,15 +169,15 @@
             return False
         pending = engine.loading.get(artifact)
         if pending is not None:
-            pending.taken = True
-        soon = engine.had_lately(artifact) or artifact in engine.held
+            pending.accepted = True
+        soon = engine.is_cached_locally(artifact) or artifact in engine.held
         await asyncio.sleep(_RELOAD_SECONDS if soon else _LOAD_SECONDS)
         while self._loop.time() - began < _LOAD_MOST_SECONDS:
-            verdict = await self._orders.give(
+            verdict = await self._orders.send_order(
                 Action.LOAD, engine, artifact, version, again=True
             )
             took = self._loop.time() - began
-            blocked = engine.waits_for not in ("", artifact)
+            blocked = engine.blocking_artifact not in ("", artifact)
             surely = blocked and took > _SURELY_LOADED_SECONDS
             if verdict is OrderVerdict.HOLDS or surely:
                 self._note_loaded(engine, artifact, version, began)
@@ -176,7 +185,7 @@
             if verdict in _FAILED:
                 break
             await asyncio.sleep(_POLL_SECONDS)
-        engine.note_under_way(artifact, self._loop.time())
+        engine.record_load_in_progress(artifact, self._loop.time())
         return False
 
     def _note_loaded(
@@ -184,7 +193,7 @@
     ) -> None:
         now = self._loop.time()
         newest = max(self._view.version(artifact), version, 1)
-        engine.held[artifact] = Held(newest, now, now)
+        engine.held[artifact] = HeldArtifact(newest, now, now)
         engine.unanswered.pop(artifact, None)
         self._view.tell(engine)
         self._orders.telemetry.note_load(now - began)
@@ -193,7 +202,7 @@
             upstream=engine.name,
             artifact=artifact,
             version=newest,
-            places=engine.places_taken(),
+            places=engine.used_adapter_slots(),
             seconds=round(now - began, 4),
         )
 
@@ -201,10 +210,10 @@
         self, engine: Engine, artifact: str, version: int
     ) -> None:
         """Brings a newer version of an adapter, which waits for its runs."""
-        engine.waits_for = artifact
+        engine.blocking_artifact = artifact
         try:
             await self._order_load(engine, artifact, version)
         finally:
             engine.loading.pop(artifact, None)
-            if engine.waits_for == artifact:
-                engine.waits_for = ""
+            if engine.blocking_artifact == artifact:
+                engine.blocking_artifact = ""
--- a/src/ridgesill/app/engine_orders.py
+++ b/src/ridgesill/app/engine_orders.py
@@ -13,6 +13,7 @@
 
 from ridgesill.adapters.http1.client import UpstreamChannels
 from ridgesill.app.unknown_words import UnknownWords
+from ridgesill.core.fleet.engine_capacity import fits_from_empty
 from ridgesill.core.fleet.engines import Engine, UnansweredLoad
 from ridgesill.core.fleet.orders import (
     Action,
@@ -22,7 +23,6 @@
     OrderAnswer,
     OrderVerdict,
 )
-from ridgesill.core.fleet.room import fits_from_empty
 from ridgesill.core.fleet.sent_orders import (
     UNANSWERED_SECONDS,
     SentOrder,
@@ -34,14 +34,14 @@
 
 # Within which an engine answers an order, in seconds, unless the answer is
 # lost; another copy goes out after that.
-ORDER_SECONDS = 0.05
+ORDER_TIMEOUT_SECONDS = 0.05
 # How often an order without an answer is given in all. When all are lost, the
 # engine gets no orders for a second and more; with three in ten lost, that
 # happened to one order in forty at three times.
 _TIMES = 5
 # A report may be some hundred milliseconds old: it is believed only when no
 # order was taken for this long.
-_REPORT_LAG = 0.8
+_REPORT_LAG_SECONDS = 0.8
 # For how long an engine that can't be reached gets no orders, in seconds.
 _SUSPEND_SECONDS = 1.0
 # For how long an engine gets no orders that reports one under way which isn't
@@ -133,27 +133,27 @@
         self._calls = calls
         self._authority = authority
         self._deliver = deliver
-        self._hear_later_start = hear_later_start
-        self._hear_leaving = hear_leaving
+        self._handle_later_start = hear_later_start
+        self._handle_leaving = hear_leaving
         self.telemetry: Telemetry = KeptTelemetry()
         self.unknown_words = UnknownWords(lambda: self.telemetry)
         self._sent = SentOrders()
         self._locks: dict[str, asyncio.Lock] = {}
         self._loop = asyncio.get_running_loop()
 
-    def forget(self, name: str) -> None:
+    def discard_engine(self, name: str) -> None:
         """Forgets an engine that is gone."""
         self._locks.pop(name, None)
 
-    def strays(self, instance: str, start: int) -> list[SentOrder]:
+    def late_orders(self, instance: str, start: int) -> list[SentOrder]:
         """Returns orders of earlier starts that a start may carry out."""
-        return self._sent.strays(instance, start, self._loop.time())
+        return self._sent.late_orders(instance, start, self._loop.time())
 
-    def forget_past(self) -> None:
+    def prune_expired(self) -> None:
         """Forgets orders that can't be carried out any more."""
-        self._sent.forget_past(self._loop.time())
+        self._sent.prune_expired(self._loop.time())
 
-    async def give(
+    async def send_order(
         self,
         action: Action,
         engine: Engine,
@@ -173,7 +173,7 @@
         """
         lock = self._locks.setdefault(engine.name, asyncio.Lock())
         async with lock:
-            if engine.has_ended:
+            if engine.is_superseded:
                 return OrderVerdict.MISDIRECTED
             if engine.revision is None and not await self._learn(engine):
                 return OrderVerdict.REFUSED
@@ -185,7 +185,7 @@
                 # Nothing was sent: the engine has refused nothing.
                 return OrderVerdict.REFUSED
             if not again:
-                self._note(engine, wanted, verdict)
+                self._apply_verdict(engine, wanted, verdict)
             return verdict
 
     async def _repeat(
@@ -200,7 +200,7 @@
                 break
             if verdict is OrderVerdict.REFUSED and unknown:
                 # Refused now, but a copy before it may have been taken.
-                engine.ordered_at = self._loop.time()
+                engine.last_order_at = self._loop.time()
                 break
             if verdict is not OrderVerdict.UNKNOWN:
                 return verdict
@@ -212,23 +212,23 @@
     ) -> OrderVerdict | None:
         """Sends one copy, if it may leave; None if it surely wasn't sent."""
         authority = self._authority(engine)
-        if authority is None or engine.has_ended:
+        if authority is None or engine.is_superseded:
             return None
         now = self._loop.time()
-        if not engine.may_order(
+        if not engine.is_order_safe(
             wanted.action, wanted.artifact, wanted.revision, now
         ):
             return None
         order = wanted.to_order(engine, authority)
-        if not self._may_run_late(engine, order, now):
+        if not self._is_safe_after_restart(engine, order, now):
             return None
-        sent = self._sent.note(engine.instance, engine.start, order, now)
+        sent = self._sent.record(engine.instance, engine.start, order, now)
         verdict = await self._send(order, authority, engine, again)
         if verdict is not OrderVerdict.UNKNOWN:
-            self._sent.settle(engine.instance, sent)
+            self._sent.discard(engine.instance, sent)
         return verdict
 
-    def _may_run_late(
+    def _is_safe_after_restart(
         self, engine: Engine, order: FleetOrder, now: float
     ) -> bool:
         """Whether an order does no harm should the engine start again.
@@ -237,7 +237,7 @@
         engine, from its first count on, before anybody hears of the restart:
         four loads in a row took one of three places over them.
         """
-        chain = self._sent.chain_with(engine.instance, order, now)
+        chain = self._sent.possible_loads_after(engine.instance, order, now)
         if fits_from_empty(engine.spec, chain):
             return True
         engine.suspended_until = now + _SUSPEND_SECONDS
@@ -252,7 +252,7 @@
         )
         return False
 
-    def _note(
+    def _apply_verdict(
         self, engine: Engine, wanted: _Wanted, verdict: OrderVerdict
     ) -> None:
         """Notes what an order did to an engine.
@@ -263,21 +263,21 @@
         if verdict is OrderVerdict.TAKEN or (
             verdict is OrderVerdict.HOLDS and wanted.action is Action.UNLOAD
         ):
-            engine.note_taken(wanted.revision, now)
+            engine.record_accepted_order(wanted.revision, now)
         elif verdict is OrderVerdict.UNKNOWN:
             if wanted.action is Action.LOAD:
                 until = now + UNANSWERED_SECONDS
                 load = UnansweredLoad(until, wanted.revision)
                 engine.unanswered[wanted.artifact] = load
-            forget_revision(engine, "no_answer")
+            mark_revision_unknown(engine, "no_answer")
             engine.suspended_until = now + _SUSPEND_SECONDS
         elif verdict is OrderVerdict.MISDIRECTED:
             engine.suspended_until = now + _SUSPEND_SECONDS
         elif verdict is OrderVerdict.REFUSED and not engine.is_busy():
-            engine.suspended_until = now + _REPORT_LAG
+            engine.suspended_until = now + _REPORT_LAG_SECONDS
             # A report from before the refusal would tell the same count.
-            engine.ordered_at = now
-            forget_revision(engine, "refused")
+            engine.last_order_at = now
+            mark_revision_unknown(engine, "refused")
 
     async def _send(
         self,
@@ -289,7 +289,7 @@
         """Returns what became of an order; None if it surely wasn't sent."""
         began = self._loop.time()
         # What was believed as it left, not once its answer is there.
-        places = engine.places_taken()
+        places = engine.used_adapter_slots()
         unanswered = len(engine.unanswered)
         answer = await self._deliver(order, authority)
         verdict = self._read(answer)
@@ -314,7 +314,7 @@
             seconds=round(self._loop.time() - began, 4),
         )
         if answer.leaves:
-            self._hear_leaving(engine)
+            self._handle_leaving(engine)
         return verdict
 
     def _read(self, answer: OrderAnswer) -> OrderVerdict | None:
@@ -332,18 +332,18 @@
         finally:
             exchange.cancel()
 
-    async def prepare(self, engine: Engine) -> None:
+    async def refresh_report(self, engine: Engine) -> None:
         """Learns what an engine holds before an order needs it."""
         lock = self._locks.setdefault(engine.name, asyncio.Lock())
         async with lock:
-            if engine.must_ask(self._loop.time()):
+            if engine.needs_report(self._loop.time()):
                 await self._learn(engine)
 
     async def _learn(self, engine: Engine) -> bool:
         """Learns how many orders an engine has taken, and what it holds."""
         known = engine.revision
-        engine.asked_at = self._loop.time()
-        wait = engine.ordered_at + _REPORT_LAG - self._loop.time()
+        engine.report_requested_at = self._loop.time()
+        wait = engine.last_order_at + _REPORT_LAG_SECONDS - self._loop.time()
         if known is None and wait > 0:
             await asyncio.sleep(wait)
         report = await self._ask_report(engine)
@@ -351,13 +351,13 @@
             engine.suspended_until = self._loop.time() + _SUSPEND_SECONDS
             return False
         if report.start > engine.start > 0:
-            engine.has_ended = True
-            self._hear_later_start(engine, report)
+            engine.is_superseded = True
+            self._handle_later_start(engine, report)
             return False
         if known is not None and report.revision < known:
             # From before the last order; it is asked again.
             return True
-        engine.take_report(report, self._loop.time())
+        engine.apply_report(report, self._loop.time())
         if engine.revision is None:
             engine.suspended_until = self._loop.time() + _BUSY_SECONDS
             return False
@@ -366,10 +366,10 @@
     async def _ask_report(self, engine: Engine) -> EngineReport | None:
         request = self._calls.ask_report(engine.name, engine.address)
         try:
-            async with asyncio.timeout(ORDER_SECONDS):
+            async with asyncio.timeout(ORDER_TIMEOUT_SECONDS):
                 head, body = await self._exchange(engine.address, request)
             if self._calls.is_leaving(head):
-                self._hear_leaving(engine)
+                self._handle_leaving(engine)
             if head.status != 200:
                 raise ValueError(f"status {head.status}")
             report = self._calls.read_report(body)
@@ -398,7 +398,7 @@
         return report
 
 
-def forget_revision(engine: Engine, reason: str) -> None:
+def mark_revision_unknown(engine: Engine, reason: str) -> None:
     """Has an engine asked how many orders it has taken before the next one."""
     log_message(
         "fleet:revision_forgotten",
--- a/src/ridgesill/app/fleet_engines.py
+++ b/src/ridgesill/app/fleet_engines.py
@@ -175,7 +175,7 @@
                     "fleet:appeared",
                     upstream=engine.name,
                     artifacts=appeared,
-                    places=engine.places_taken(),
+                    places=engine.used_adapter_slots(),
                 )
             self.tell_resident(engine)
 
@@ -197,12 +197,14 @@
             engine.suspended_until = (
                 self._delivered_until() + UNANSWERED_SECONDS
             )
-        engine.strays = self._orders.strays(engine.instance, engine.start)
+        engine.late_orders = self._orders.late_orders(
+            engine.instance, engine.start
+        )
         engine.draining = upstream.state != READY
         # Fronts may still use all of it, until they have said what they use.
-        engine.adopt(upstream.resident, handed_at=now)
+        engine.apply_resident(upstream.resident, assigned_at=now)
         # A report must be from after an earlier owner's last order.
-        engine.ordered_at = min(now, self._delivered_until())
+        engine.last_order_at = min(now, self._delivered_until())
         self._placement.engines[upstream.name] = engine
 
     def _may_have_begun_lately(self, upstream: Upstream) -> bool:
@@ -252,8 +254,8 @@
         engine = self._placement.engines.pop(name, None)
         if engine is not None:
             # Loads that are under way there give no more orders.
-            engine.has_ended = True
-        self._orders.forget(name)
+            engine.is_superseded = True
+        self._orders.discard_engine(name)
 
     def note_table(self, table: RouteTable) -> None:
         """Takes a new configuration."""
--- a/src/ridgesill/app/fleet_loads.py
+++ b/src/ridgesill/app/fleet_loads.py
@@ -12,10 +12,12 @@
 from ridgesill.core.fleet.assignment import (
     choose_holder,
     find_holders,
-    predict_first,
+    predict_first_event,
     rank_want,
 )
 from ridgesill.core.fleet.backlog import Backlogs
+from ridgesill.core.fleet.copy_benefit import is_copy_sooner
+from ridgesill.core.fleet.engine_capacity import is_adapter
 from ridgesill.core.fleet.engines import Engine
 from ridgesill.core.fleet.health import EngineHealth
 from ridgesill.core.fleet.lateness import count_late, load_seconds, make_waiter
@@ -24,13 +26,16 @@
     ArtifactReady,
     WantArtifact,
 )
-from ridgesill.core.fleet.placement import Choice, Demand, Placement, Survey
-from ridgesill.core.fleet.room import is_adapter
-from ridgesill.core.fleet.sooner import is_copy_sooner
+from ridgesill.core.fleet.placement import (
+    Demand,
+    LoadTarget,
+    Placement,
+    PlacementSnapshot,
+)
 from ridgesill.core.fleet.wants import (
     LOAD_SECONDS,
+    ArtifactWaiters,
     Waiter,
-    Waiting,
     WantQueue,
 )
 from ridgesill.core.serving.rank import rank_request
@@ -86,7 +91,7 @@
         loaded_at: when it should be there.
     """
 
-    waiting: Waiting
+    waiting: ArtifactWaiters
     answer: asyncio.Future[ArtifactReady]
     engine: Engine | None = None
     loaded_at: float = 0.0
@@ -123,7 +128,7 @@
         self._dispatching: asyncio.TimerHandle | None = None
         self.engine_loads = EngineLoads(orders, view)
         self._upkeep = FleetUpkeep(
-            placement, orders, self.engine_loads, view, self._survey
+            placement, orders, self.engine_loads, view, self._placement_snapshot
         )
 
     def end(self) -> None:
@@ -207,7 +212,7 @@
             holder,
             self._backlogs,
             now,
-            lambda: self._survey(want.service),
+            lambda: self._placement_snapshot(want.service),
         )
 
     def _least_seconds(self, want: WantArtifact) -> float:
@@ -218,12 +223,12 @@
         """Sends a request to an engine that holds what it needs."""
         now = self._loop.time()
         rank = rank_want(want, engine, self._backlogs)
-        first = predict_first(want, engine, self._backlogs, now)
+        first = predict_first_event(want, engine, self._backlogs, now)
         seconds = self._backlogs.read_seconds(engine.name, want.tokens)
         self._backlogs.begin(engine.name, want.request, want.tokens, rank, now)
         self._health.note_assigned(engine.name, now)
         held = engine.held[want.artifact]
-        held.handed_at = now
+        held.assigned_at = now
         return ArtifactReady(
             engine.name,
             held.version,
@@ -247,7 +252,7 @@
                 asyncio.shield(loading.answer), seconds
             )
         except TimeoutError:
-            if waiting.tries:
+            if waiting.failed_loads:
                 return ArtifactReady("", after=0.5, reason="load_too_slow")
             return ArtifactReady("", after=_NO_PLACE_AFTER, reason="no_place")
         finally:
@@ -261,7 +266,7 @@
         key = (want.service, want.artifact)
         loading = self._loadings.get(key)
         if loading is None:
-            waiting = Waiting(want, now)
+            waiting = ArtifactWaiters(want, now)
             loading = _Loading(waiting, self._loop.create_future())
             self._loadings[key] = loading
             self._queue.add(waiting)
@@ -307,38 +312,40 @@
         now = self._dispatched_at = self._loop.time()
         if now < self._view.orders_from():
             return
-        surveys: dict[str, Survey] = {}
+        placement_snapshots: dict[str, PlacementSnapshot] = {}
         misses = 0
         for waiting in self._queue.ranked(now):
             service = waiting.want.service
-            if service not in surveys:
-                surveys[service] = self._survey(service)
-            choice = self._choose(waiting, surveys[service])
+            if service not in placement_snapshots:
+                placement_snapshots[service] = self._placement_snapshot(service)
+            choice = self._choose(waiting, placement_snapshots[service])
             if choice is None:
                 misses += 1
                 if misses >= _MISSES_MOST:
                     break
                 continue
             self._begin_load(waiting, choice)
-            surveys[service].note_chosen(choice.engine)
+            placement_snapshots[service].invalidate_engine(choice.engine)
         if len(self._queue):
-            self._tell_why(surveys, now)
+            self._tell_why(placement_snapshots, now)
             self._dispatch_later()
 
-    def _tell_why(self, surveys: dict[str, Survey], now: float) -> None:
+    def _tell_why(
+        self, placement_snapshots: dict[str, PlacementSnapshot], now: float
+    ) -> None:
         """Says at times why wants wait."""
         if now < self._told_at + _TELL_SECONDS:
             return
         self._told_at = now
-        for service, survey in surveys.items():
+        for service, placement_snapshot in placement_snapshots.items():
             log_message(
                 "fleet:no_place",
                 service=service,
                 waiting=len(self._queue),
-                **survey.describe(),
+                **placement_snapshot.describe(),
             )
 
-    def _survey(self, service: str) -> Survey:
+    def _placement_snapshot(self, service: str) -> PlacementSnapshot:
         now = self._loop.time()
         demand = Demand(
             self._view.busy(),
@@ -349,15 +356,17 @@
         engines = self._engines_in_use(service)
         # What a limited engine loads it could serve to few.
         unlimited = [e for e in engines if not self._view.limited(e.name)]
-        return self._placement.survey(unlimited or engines, demand, now)
+        return self._placement.take_snapshot(unlimited or engines, demand, now)
 
-    def _is_settled(self, handed_at: float) -> bool:
+    def _is_settled(self, assigned_at: float) -> bool:
         """Whether what was handed out at a moment shows in fronts' reports."""
-        if self._view.heard_since(handed_at + _REPORT_MARGIN):
+        if self._view.heard_since(assigned_at + _REPORT_MARGIN):
             return True
-        return self._loop.time() - handed_at > _SETTLE_SECONDS
+        return self._loop.time() - assigned_at > _SETTLE_SECONDS
 
-    def _choose(self, waiting: Waiting, survey: Survey) -> Choice | None:
+    def _choose(
+        self, waiting: ArtifactWaiters, placement_snapshot: PlacementSnapshot
+    ) -> LoadTarget | None:
         want = waiting.want
         if not is_adapter(want.artifact):
             return self._placement.choose_for_model(
@@ -367,10 +376,10 @@
                 self._loop.time(),
             )
         avoid = waiting.avoid
-        if not waiting.can_be_in_time(self._loop.time()):
-            avoid = avoid | survey.crowded()
+        if not waiting.can_meet_goal(self._loop.time()):
+            avoid = avoid | placement_snapshot.crowded_engines()
         now = self._loop.time()
-        return survey.choose(
+        return placement_snapshot.choose(
             want.artifact,
             want.data_centre,
             avoid,
@@ -379,10 +388,10 @@
             ),
         )
 
-    def _begin_load(self, waiting: Waiting, choice: Choice) -> None:
+    def _begin_load(self, waiting: ArtifactWaiters, choice: LoadTarget) -> None:
         want = waiting.want
         self._queue.discard(waiting)
-        waiting.tries += 1
+        waiting.failed_loads += 1
         loading = self._loadings[(want.service, want.artifact)]
         now = self._loop.time()
         loading.engine = choice.engine
@@ -402,7 +411,7 @@
         rank = rank_request(seconds, waiter.goal_at - at)
         self._backlogs.promise(name, waiter.request, waiter.tokens, rank, at)
 
-    async def _bring(self, loading: _Loading, choice: Choice) -> None:
+    async def _bring(self, loading: _Loading, choice: LoadTarget) -> None:
         waiting = loading.waiting
         want = waiting.want
         loaded = False
@@ -416,7 +425,7 @@
             held = choice.engine.held.get(want.artifact)
             version = held.version if held else 0
             self._finish(loading, ArtifactReady(choice.engine.name, version))
-        elif waiting.tries >= _TRIES or not waiting.waiters:
+        elif waiting.failed_loads >= _TRIES or not waiting.waiters:
             failed = ArtifactReady("", after=0.5, reason="loads_failed")
             self._finish(loading, failed)
         elif not loading.answer.done():
--- a/src/ridgesill/app/fleet_owner.py
+++ b/src/ridgesill/app/fleet_owner.py
@@ -315,10 +315,10 @@
         self._backlogs.keep_only(set(registry.upstreams))
         self._health.keep_only(set(registry.upstreams))
         self._channels.sweep()
-        self._orders.forget_past()
+        self._orders.prune_expired()
         engines = self._placement.engines.values()
-        self._leases.note_holders(engines)
-        self._leases.tend(engines)
+        self._leases.update_holders(engines)
+        self._leases.maintain_leases(engines)
         self._tend()
 
     # -- heartbeats ----------------------------------------------------
@@ -454,7 +454,7 @@
         if self._limits.hear(question.limits, now):
             self._news.note()
         if question.used:
-            self._placement.note_used(question.used, now)
+            self._placement.record_requests(question.used, now)
         return self._taken.take(
             sender,
             question.reports,
@@ -529,15 +529,17 @@
 
     def hear_holder(self, alive: HolderAlive) -> None:
         """Notes that a VM can deliver orders."""
-        if self._leases.hear(alive) and self._registry is not None:
-            self._leases.note_holders(self._placement.engines.values())
+        if self._leases.handle_alive(alive) and self._registry is not None:
+            self._leases.update_holders(self._placement.engines.values())
             self._loads.dispatch()
 
     def _usable_from(self) -> float:
         """Returns from when some engine can be ordered."""
         if self._registry is None:
             return float("inf")
-        return self._leases.usable_from(self._placement.engines.values())
+        return self._leases.orders_possible_from(
+            self._placement.engines.values()
+        )
 
     def _authority(self, engine: Engine) -> Authority | None:
         """Returns who delivers orders to an engine now; None if nobody."""
--- a/src/ridgesill/app/fleet_upkeep.py
+++ b/src/ridgesill/app/fleet_upkeep.py
@@ -7,8 +7,12 @@
 from ridgesill.app.engine_orders import EngineOrders
 from ridgesill.core.fleet.copies import choose_copies
 from ridgesill.core.fleet.engines import Engine
-from ridgesill.core.fleet.model_rate import ModelRate
-from ridgesill.core.fleet.placement import Choice, Placement, Survey
+from ridgesill.core.fleet.model_rate import ModelLoadRate
+from ridgesill.core.fleet.placement import (
+    LoadTarget,
+    Placement,
+    PlacementSnapshot,
+)
 
 # How often copies are thought of, in seconds: all counts are looked at, and
 # fronts report what they use a few times a second.
@@ -34,7 +38,7 @@
         orders: asks engines what they hold.
         loads: has engines load and unload.
         view: what it needs to know of the owner.
-        survey: returns a basis for choices among a service's engines.
+        placement_snapshot: returns the engines of a service as they are now.
     """
 
     def __init__(
@@ -43,15 +47,15 @@
         orders: EngineOrders,
         loads: EngineLoads,
         view: LoadsView,
-        survey: Callable[[str], Survey],
+        placement_snapshot: Callable[[str], PlacementSnapshot],
     ) -> None:
         self._placement = placement
         self._orders = orders
         self._loads = loads
         self._view = view
-        self._survey = survey
+        self._placement_snapshot = placement_snapshot
         self._loop = asyncio.get_running_loop()
-        self._rate = ModelRate()
+        self._rate = ModelLoadRate()
         self._spread_at: dict[str, float] = {}
         self._replace_since: dict[tuple[str, str], float] = {}
 
@@ -62,7 +66,7 @@
         if orders_in > _PREPARE_SECONDS:
             return
         for engine in self._view.engines(service):
-            if not engine.can_order(now) or engine.is_busy():
+            if not engine.accepts_orders(now) or engine.is_busy():
                 continue
             if self._is_known(engine, now) and orders_in <= 0:
                 self._mend(service, engine, models, now)
@@ -71,15 +75,18 @@
 
     def _is_known(self, engine: Engine, now: float) -> bool:
         """Whether it is known what an engine holds; else has it asked."""
-        if engine.must_ask(now) and now >= engine.asked_at + _ASK_SECONDS:
-            self._loads.spawn(self._orders.prepare(engine))
+        if (
+            engine.needs_report(now)
+            and now >= engine.report_requested_at + _ASK_SECONDS
+        ):
+            self._loads.spawn(self._orders.refresh_report(engine))
         return engine.revision is not None or bool(engine.loading)
 
     def _mend(
         self, service: str, engine: Engine, models: tuple[str, ...], now: float
     ) -> None:
         """Does the most urgent thing that an engine needs."""
-        if engine.free_places() < 0:
+        if engine.free_adapter_slots() < 0:
             self._make_room(service, engine)
         elif not any(engine.has_model(model) for model in models):
             self._begin_model(engine, models, now)
@@ -91,20 +98,20 @@
         if now < self._spread_at.get(service, now):
             return
         self._spread_at[service] = now + _SPREAD_SECONDS
-        survey = self._survey(service)
+        placement_snapshot = self._placement_snapshot(service)
         for artifact, choice in choose_copies(
-            self._placement.popularity, survey
+            self._placement.popularity, placement_snapshot
         ):
             self._loads.reserve(choice, artifact)
-            survey.note_chosen(choice.engine)
+            placement_snapshot.invalidate_engine(choice.engine)
             version = self._view.version(artifact)
             self._loads.spawn(self._loads.load(choice, artifact, version))
 
     def _make_room(self, service: str, engine: Engine) -> None:
         """Unloads from an engine that is believed to hold too much."""
-        if engine.loading or engine.leaving:
+        if engine.loading or engine.unloading:
             return
-        victim = self._survey(service).victim(engine)
+        victim = self._placement_snapshot(service).victim(engine)
         if victim is not None:
             self._let_go(engine, victim)
 
@@ -116,11 +123,11 @@
         self, engine: Engine, models: tuple[str, ...], now: float
     ) -> None:
         for model in models:
-            if engine.loading or not engine.has_room(model):
+            if engine.loading or not engine.fits_model(model):
                 return
-            if not self._rate.take(engine.spec.loads_per_second, now):
+            if not self._rate.acquire(engine.spec.loads_per_second, now):
                 return
-            choice = Choice(engine)
+            choice = LoadTarget(engine)
             self._loads.reserve(choice, model)
             self._loads.spawn(self._loads.load(choice, model, 0))
 
@@ -158,5 +165,5 @@
             # A request has had it loaded elsewhere; a copy comes when needed.
             self._let_go(engine, artifact)
             return
-        self._loads.reserve(Choice(engine), artifact)
+        self._loads.reserve(LoadTarget(engine), artifact)
         self._loads.spawn(self._loads.replace(engine, artifact, version))
--- a/src/ridgesill/app/order_holder.py
+++ b/src/ridgesill/app/order_holder.py
@@ -7,8 +7,8 @@
 
 from ridgesill.adapters.http1.client import UpstreamChannels
 from ridgesill.app.control import Control
-from ridgesill.app.engine_orders import ORDER_SECONDS
-from ridgesill.core.fleet.order_leases import STAMP_EVERY, OrderGate
+from ridgesill.app.engine_orders import ORDER_TIMEOUT_SECONDS
+from ridgesill.core.fleet.order_leases import STAMP_INTERVAL_SECONDS, OrderGate
 from ridgesill.core.fleet.orders import (
     DeliverOrder,
     Delivery,
@@ -57,9 +57,9 @@
                 self._hear(alive)
             elif leader:
                 self._control.peers.send(leader, alive)
-            await asyncio.sleep(STAMP_EVERY)
+            await asyncio.sleep(STAMP_INTERVAL_SECONDS)
 
-    async def handle(self, message: DeliverOrder) -> OrderAnswer:
+    async def handle_order(self, message: DeliverOrder) -> OrderAnswer:
         """Delivers an order, if its word is fresh."""
         order = message.order
         if not self._gate.may_deliver(
@@ -82,7 +82,7 @@
     """Sends an order to its engine; returns what became of it."""
     request = calls.write_order(order)
     try:
-        async with asyncio.timeout(ORDER_SECONDS):
+        async with asyncio.timeout(ORDER_TIMEOUT_SECONDS):
             exchange = await channels.send(order.address, request)
             try:
                 head = await exchange.read_head()
--- a/src/ridgesill/app/order_lease_keeper.py
+++ b/src/ridgesill/app/order_lease_keeper.py
@@ -7,15 +7,15 @@
 from eliot import log_message
 
 from ridgesill.app.control import Control, UnavailableError
-from ridgesill.app.engine_orders import ORDER_SECONDS, Authority
+from ridgesill.app.engine_orders import ORDER_TIMEOUT_SECONDS, Authority
 from ridgesill.app.order_holder import OrderHolder
 from ridgesill.core.commands import GrantPool, ReleasePool
 from ridgesill.core.fleet.engines import Engine
 from ridgesill.core.fleet.order_leases import (
-    PREFIX,
+    ORDER_POOL_PREFIX,
+    EngineLocation,
     OrderLeases,
-    Place,
-    held_addresses,
+    leased_addresses,
 )
 from ridgesill.core.fleet.orders import (
     DeliverOrder,
@@ -73,30 +73,34 @@
         """Returns until when an earlier leader's orders may have arrived."""
         return self._leases.delivered_until
 
-    def hear(self, alive: HolderAlive) -> bool:
+    def handle_alive(self, alive: HolderAlive) -> bool:
         """Notes that a VM can deliver orders; returns whether that is new."""
         now = self._loop.time()
-        was_heard = self._leases.is_heard(alive.name, now)
-        self._leases.hear(alive.name, alive.stamp, alive.data_centre, now)
+        was_heard = self._leases.is_reachable(alive.name, now)
+        self._leases.record_stamp(
+            alive.name, alive.stamp, alive.data_centre, now
+        )
         return not was_heard
 
-    def note_holders(self, engines: Iterable[Engine]) -> None:
+    def update_holders(self, engines: Iterable[Engine]) -> None:
         """Notes which engines can be ordered now."""
         now = self._loop.time()
         owners = self._control.state.owners
         for engine in engines:
-            holder = self._leases.holder(engine.address, owners, now)
+            holder = self._leases.find_holder(engine.address, owners, now)
             engine.has_holder = holder is not None
 
-    def usable_from(self, engines: Iterable[Engine]) -> float:
+    def orders_possible_from(self, engines: Iterable[Engine]) -> float:
         """Returns from when some engine can be ordered."""
         addresses = [engine.address for engine in engines]
         owners = self._control.state.owners
-        return self._leases.usable_from(addresses, owners, self._loop.time())
+        return self._leases.orders_possible_from(
+            addresses, owners, self._loop.time()
+        )
 
     # -- grants --------------------------------------------------------
 
-    def tend(self, engines: Iterable[Engine]) -> None:
+    def maintain_leases(self, engines: Iterable[Engine]) -> None:
         """Grants what nobody holds, and releases what nobody needs."""
         known = list(engines)
         self._grant(known)
@@ -104,7 +108,7 @@
 
     def _grant(self, engines: Iterable[Engine]) -> None:
         places = [
-            Place(engine.address, engine.data_centre)
+            EngineLocation(engine.address, engine.data_centre)
             for engine in engines
             if engine.address not in self._proposed
         ]
@@ -115,7 +119,9 @@
             self._loop.time(),
         )
         for grant in grants:
-            command = GrantPool(PREFIX + grant.address, grant.node, "")
+            command = GrantPool(
+                ORDER_POOL_PREFIX + grant.address, grant.node, ""
+            )
             self._propose(grant.address, command)
 
     def _release(self, used: set[str]) -> None:
@@ -126,14 +132,14 @@
         """
         now = self._loop.time()
         owners = self._control.state.owners
-        for address in held_addresses(owners):
+        for address in leased_addresses(owners):
             if address in used:
                 self._unused_since.pop(address, None)
                 continue
             since = self._unused_since.setdefault(address, now)
             if now - since > _RELEASE_AFTER and address not in self._proposed:
                 del self._unused_since[address]
-                pool = PREFIX + address
+                pool = ORDER_POOL_PREFIX + address
                 release = ReleasePool(pool, owners[pool].epoch)
                 self._propose(address, release)
 
@@ -164,10 +170,10 @@
             return None
         owners = self._control.state.owners
         now = self._loop.time()
-        holder = self._leases.holder(engine.address, owners, now)
+        holder = self._leases.find_holder(engine.address, owners, now)
         if holder is None:
             return None
-        self._leases.note_used(engine.address, holder.name, now)
+        self._leases.record_use(engine.address, holder.name, now)
         return Authority(holder.name, holder.token, holder.stamp)
 
     async def deliver(
@@ -176,11 +182,11 @@
         """Has the holder of an engine's lease deliver an order."""
         message = DeliverOrder(order, authority.stamp, self._term)
         if authority.holder == self._control.node.name:
-            return await self._holder.handle(message)
+            return await self._holder.handle_order(message)
         address = self._control.address_of(authority.holder)
         try:
             answer: OrderAnswer = await self._control.peers.call(
-                address, message, ORDER_SECONDS + _DELIVERY_MARGIN
+                address, message, ORDER_TIMEOUT_SECONDS + _DELIVERY_MARGIN
             )
         except PeerError as error:
             return OrderAnswer(Delivery.NO_ANSWER, str(error))
--- a/src/ridgesill/core/fleet/assignment.py
+++ b/src/ridgesill/core/fleet/assignment.py
@@ -45,7 +45,7 @@
     return rank_request(seconds, want.goal)
 
 
-def predict_first(
+def predict_first_event(
     want: WantArtifact, engine: Engine, backlogs: Backlogs, now: float
 ) -> float:
     """Returns seconds until an engine would give the first event."""
@@ -73,7 +73,7 @@
     taken = busy or {}
 
     def cost(engine: Engine) -> tuple[bool, float]:
-        seconds = predict_first(want, engine, backlogs, now)
+        seconds = predict_first_event(want, engine, backlogs, now)
         if taken.get(engine.name, 0) >= engine.spec.slots:
             seconds += _FULL_SECONDS
         is_near = engine.data_centre == want.data_centre
--- a/src/ridgesill/core/fleet/backlog.py
+++ b/src/ridgesill/core/fleet/backlog.py
@@ -184,7 +184,7 @@
         if was_read:
             began_at = max(queue.began_at, reading.sent_at)
             seconds = now - began_at - _STEP_SECONDS
-            self._times.note(engine, reading.tokens, seconds)
+            self._times.record(engine, reading.tokens, seconds)
         if was_read or request == queue.current:
             queue.advance(now)
 
@@ -202,4 +202,4 @@
         for name in list(self._queues):
             if name not in engines:
                 del self._queues[name]
-        self._times.keep_only(engines)
+        self._times.discard_except(engines)
--- a/src/ridgesill/core/fleet/copies.py
+++ b/src/ridgesill/core/fleet/copies.py
@@ -8,8 +8,8 @@
 
 from collections.abc import Iterator
 
-from ridgesill.core.fleet.placement import Choice, Survey
-from ridgesill.core.fleet.room import is_adapter
+from ridgesill.core.fleet.engine_capacity import is_adapter
+from ridgesill.core.fleet.placement import LoadTarget, PlacementSnapshot
 from ridgesill.core.pool.popularity import Popularity
 
 # Share of the requests from which an adapter may get another copy.
@@ -38,13 +38,13 @@
 
 
 def choose_copies(
-    popularity: Popularity, survey: Survey
-) -> Iterator[tuple[str, Choice]]:
+    popularity: Popularity, placement_snapshot: PlacementSnapshot
+) -> Iterator[tuple[str, LoadTarget]]:
     """Yields adapters that deserve a copy, and where it should go.
 
     The caller has each under way before it asks for the next one.
     """
-    now = survey.now
+    now = placement_snapshot.now
     total = popularity.total(now)
     if total < _AFTER:
         return
@@ -53,61 +53,81 @@
             return
         if not is_adapter(artifact):
             continue
-        choice = _choose_successor(survey, artifact)
+        choice = _choose_successor(placement_snapshot, artifact)
         if choice is None and value >= _LOCAL_SHARE * total:
-            choice = _choose_elsewhere(survey, artifact)
+            choice = _choose_elsewhere(placement_snapshot, artifact)
         if choice is None:
-            choice = _choose_idler(survey, artifact)
+            choice = _choose_idler(placement_snapshot, artifact)
         if choice is None:
             continue
-        victim_worth = survey.worth(choice.victim) if choice.victim else 0.0
+        victim_worth = (
+            placement_snapshot.worth(choice.victim) if choice.victim else 0.0
+        )
         if victim_worth < value * _VICTIM_SHARE:
             yield artifact, choice
 
 
-def _choose_successor(survey: Survey, artifact: str) -> Choice | None:
+def _choose_successor(
+    placement_snapshot: PlacementSnapshot, artifact: str
+) -> LoadTarget | None:
     """Returns an engine for what only engines hold that leave.
 
     The next request for it would wait for the load.
     """
-    holders = [e for e in survey.engines if artifact in e.held]
-    is_coming = any(artifact in e.loading for e in survey.engines)
+    holders = [e for e in placement_snapshot.engines if artifact in e.held]
+    is_coming = any(artifact in e.loading for e in placement_snapshot.engines)
     if is_coming or not holders or not all(e.draining for e in holders):
         return None
-    return survey.choose(artifact, loading_most=_LOADING_MOST)
+    return placement_snapshot.choose(artifact, max_loading=_LOADING_MOST)
 
 
-def _choose_elsewhere(survey: Survey, artifact: str) -> Choice | None:
+def _choose_elsewhere(
+    placement_snapshot: PlacementSnapshot, artifact: str
+) -> LoadTarget | None:
     """Returns an engine in a data centre without the adapter."""
     served = {
         engine.data_centre
-        for engine in survey.engines
+        for engine in placement_snapshot.engines
         if artifact in engine.held or artifact in engine.loading
     }
-    near = {e.name for e in survey.engines if e.data_centre in served}
-    avoid = near | survey.crowded()
-    return survey.choose(artifact, avoid=avoid, loading_most=_LOADING_MOST)
+    near = {
+        e.name for e in placement_snapshot.engines if e.data_centre in served
+    }
+    avoid = near | placement_snapshot.crowded_engines()
+    return placement_snapshot.choose(
+        artifact, avoid=avoid, max_loading=_LOADING_MOST
+    )
 
 
-def _choose_idler(survey: Survey, artifact: str) -> Choice | None:
+def _choose_idler(
+    placement_snapshot: PlacementSnapshot, artifact: str
+) -> LoadTarget | None:
     """Returns an engine with much less to do than all holders of an adapter.
 
     Copies on their way are waited for once there are as many as holders.
     """
-    holders = [e for e in survey.engines if artifact in e.held]
-    coming = sum(artifact in e.loading for e in survey.engines)
+    holders = [e for e in placement_snapshot.engines if artifact in e.held]
+    coming = sum(artifact in e.loading for e in placement_snapshot.engines)
     if not holders or coming >= len(holders):
         return None
-    backlog = min(map(survey.backlog, holders))
-    share = min(map(survey.busy_share, holders))
+    backlog = min(map(placement_snapshot.backlog, holders))
+    share = min(map(placement_snapshot.busy_share, holders))
     is_behind = backlog >= _BACKLOG_SECONDS
     is_full = share >= _FULL
     if not is_behind and not is_full:
         return None
     busier = {
         engine.name
-        for engine in survey.engines
-        if (is_behind and survey.backlog(engine) > _IDLER_BACKLOG * backlog)
-        or (is_full and survey.busy_share(engine) > _IDLER_BUSY * share)
+        for engine in placement_snapshot.engines
+        if (
+            is_behind
+            and placement_snapshot.backlog(engine) > _IDLER_BACKLOG * backlog
+        )
+        or (
+            is_full
+            and placement_snapshot.busy_share(engine) > _IDLER_BUSY * share
+        )
     }
-    return survey.choose(artifact, avoid=busier, loading_most=_LOADING_MOST)
+    return placement_snapshot.choose(
+        artifact, avoid=busier, max_loading=_LOADING_MOST
+    )
--- a/src/ridgesill/core/fleet/sooner.py
+++ b/src/ridgesill/core/fleet/copy_benefit.py
@@ -7,13 +7,13 @@
 
 from collections.abc import Callable
 
-from ridgesill.core.fleet.assignment import predict_first
+from ridgesill.core.fleet.assignment import predict_first_event
 from ridgesill.core.fleet.backlog import Backlogs
 from ridgesill.core.fleet.engines import Engine
 from ridgesill.core.fleet.lateness import count_late, make_waiter, share_late
 from ridgesill.core.fleet.messages import WantArtifact
-from ridgesill.core.fleet.placement import Survey
-from ridgesill.core.fleet.wants import Waiting
+from ridgesill.core.fleet.placement import PlacementSnapshot
+from ridgesill.core.fleet.wants import ArtifactWaiters
 
 # How much less likely a request must be late with a copy loaded for it than at
 # the best holder. A load costs a third of a request's worth. Emulated, five
@@ -26,7 +26,7 @@
     holder: Engine,
     backlogs: Backlogs,
     now: float,
-    make_survey: Callable[[], Survey],
+    make_placement_snapshot: Callable[[], PlacementSnapshot],
 ) -> bool:
     """Whether all holders are likely late and a load elsewhere isn't.
 
@@ -35,22 +35,23 @@
         holder: the best of them.
         backlogs: what engines have yet to read.
         now: the clock, in seconds.
-        make_survey: returns a basis for choosing an engine; called only when
-            the holders are late, since it looks at all that engines hold.
+        make_placement_snapshot: returns the snapshot from which an engine is
+            chosen. It scans all that engines hold, so it is called only when
+            the holders are likely to be late.
     """
-    first = predict_first(want, holder, backlogs, now)
+    first = predict_first_event(want, holder, backlogs, now)
     late_there = share_late(want.goal - first)
     if late_there < _COPY_GAIN:
         return False
-    waiting = Waiting(want, now, [make_waiter(want, backlogs, now)])
+    waiting = ArtifactWaiters(want, now, [make_waiter(want, backlogs, now)])
 
     def lateness(engine: Engine) -> float:
         return count_late(waiting, engine, backlogs, now)
 
-    survey = make_survey()
+    placement_snapshot = make_placement_snapshot()
     # A copy takes only places to spare.
-    avoid = survey.crowded() | set(want.avoid)
-    choice = survey.choose(
+    avoid = placement_snapshot.crowded_engines() | set(want.avoid)
+    choice = placement_snapshot.choose(
         want.artifact, want.data_centre, avoid, lateness=lateness
     )
     if choice is None:
--- a/src/ridgesill/core/fleet/room.py
+++ b/src/ridgesill/core/fleet/engine_capacity.py
@@ -18,12 +18,12 @@
     return artifact.partition("/")[0]
 
 
-def count_places(artifacts: Collection[str]) -> int:
+def count_adapters(artifacts: Collection[str]) -> int:
     """Returns the places that artifacts take; base models take none."""
     return sum(map(is_adapter, artifacts))
 
 
-def weigh(spec: EngineSpec, artifacts: Collection[str]) -> float:
+def total_weights_mb(spec: EngineSpec, artifacts: Collection[str]) -> float:
     """Returns the megabytes of artifacts; unknown models weigh nothing."""
     return sum(_weigh_one(spec, artifact) for artifact in artifacts)
 
@@ -37,9 +37,12 @@
 
 def fits(spec: EngineSpec, artifacts: Collection[str]) -> bool:
     """Whether an engine can hold artifacts together."""
-    if count_places(artifacts) > spec.adapter_slots:
+    if count_adapters(artifacts) > spec.adapter_slots:
         return False
-    return _holds_anything(spec) or weigh(spec, artifacts) <= spec.weights_mb
+    return (
+        _holds_anything(spec)
+        or total_weights_mb(spec, artifacts) <= spec.weights_mb
+    )
 
 
 def _holds_anything(spec: EngineSpec) -> bool:
@@ -70,6 +73,6 @@
         for loads in chain
     )
     return (
-        min(places, count_places(together)) <= spec.adapter_slots
-        and min(heaviest, weigh(spec, together)) <= spec.weights_mb
+        min(places, count_adapters(together)) <= spec.adapter_slots
+        and min(heaviest, total_weights_mb(spec, together)) <= spec.weights_mb
     )
--- a/src/ridgesill/core/fleet/engines.py
+++ b/src/ridgesill/core/fleet/engines.py
@@ -2,14 +2,19 @@
 
 import attrs
 
+from ridgesill.core.fleet.engine_capacity import (
+    count_adapters,
+    fits,
+    is_adapter,
+    total_weights_mb,
+)
 from ridgesill.core.fleet.orders import Action, EngineReport
-from ridgesill.core.fleet.room import count_places, fits, is_adapter, weigh
-from ridgesill.core.fleet.sent_orders import SentOrder, find_chain
+from ridgesill.core.fleet.sent_orders import SentOrder, find_load_chain
 from ridgesill.core.serving.routes import EngineSpec
 
 # Adapters that may be on their way to one engine at once (the platform's
 # protocol).
-LOADS_AT_ONCE = 4
+MAX_CONCURRENT_LOADS = 4
 # How long an adapter that a report names as on its way still takes, in
 # seconds: a quarter of a second from the store, more while many are loaded.
 _INCOMING_SECONDS = 1.0
@@ -25,22 +30,22 @@
 
 
 @attrs.define
-class Held:
+class HeldArtifact:
     """Something that an engine holds.
 
     Attributes:
         since: when a load ordered here was done; minus infinity when it was
             learned from others.
-        handed_at: when a front was last told to send a request to it.
+        assigned_at: when a front was last told to send a request to it.
     """
 
     version: int
-    since: float
-    handed_at: float
+    loaded_at: float
+    assigned_at: float
 
 
 @attrs.frozen
-class Leaving:
+class PendingUnload:
     """Something whose unload was ordered.
 
     Attributes:
@@ -48,7 +53,7 @@
         version: that was held, and still is if the order is refused.
     """
 
-    at: float
+    started_at: float
     version: int
 
 
@@ -62,12 +67,12 @@
             when the order named none, or is known to be under way.
     """
 
-    until: float
+    expires_at: float
     revision: int | None = None
 
 
 @attrs.define
-class Pending:
+class PendingLoad:
     """A load that is about to be ordered, or was.
 
     Attributes:
@@ -76,7 +81,7 @@
     """
 
     victim: str = ""
-    taken: bool = False
+    accepted: bool = False
 
 
 @attrs.define
@@ -108,57 +113,57 @@
     data_centre: str
     spec: EngineSpec
     revision: int | None = None
-    held: dict[str, Held] = attrs.Factory(dict)
-    loading: dict[str, Pending] = attrs.Factory(dict)
-    leaving: dict[str, Leaving] = attrs.Factory(dict)
+    held: dict[str, HeldArtifact] = attrs.Factory(dict)
+    loading: dict[str, PendingLoad] = attrs.Factory(dict)
+    unloading: dict[str, PendingUnload] = attrs.Factory(dict)
     unanswered: dict[str, UnansweredLoad] = attrs.Factory(dict)
-    unsure: set[str] = attrs.Factory(set)
-    strays: list[SentOrder] = attrs.Factory(list)
+    unconfirmed: set[str] = attrs.Factory(set)
+    late_orders: list[SentOrder] = attrs.Factory(list)
     instance: str = ""
     start: int = 0
-    has_ended: bool = False
-    waits_for: str = ""
-    ordered_at: float = float("-inf")
-    asked_at: float = float("-inf")
+    is_superseded: bool = False
+    blocking_artifact: str = ""
+    last_order_at: float = float("-inf")
+    report_requested_at: float = float("-inf")
     suspended_until: float = 0.0
     has_holder: bool = True
     draining: bool = False
     _left_at: dict[str, float] = attrs.Factory(dict)
     _missed: dict[str, int] = attrs.Factory(dict)
 
-    def places_taken(self) -> int:
+    def used_adapter_slots(self) -> int:
         """Returns the places for adapters that are or may be taken.
 
         A load and what is unloaded for it share a place.
         """
-        return count_places(self._promised())
+        return count_adapters(self._promised())
 
     def _promised(self) -> set[str]:
         """Returns what it holds or may hold once loads here have ended."""
         replaced = {pending.victim for pending in self.loading.values()}
-        taken = {*self.held, *self.loading, *self.unanswered, *self.unsure}
-        taken.update(a for a in self.leaving if a not in replaced)
+        taken = {*self.held, *self.loading, *self.unanswered, *self.unconfirmed}
+        taken.update(a for a in self.unloading if a not in replaced)
         return taken
 
-    def may_hold(self) -> set[str]:
+    def possible_artifacts(self) -> set[str]:
         """Returns all that it may hold at its count of orders.
 
         Orders that are still to leave don't count.
         """
-        ordered = (a for a, pending in self.loading.items() if pending.taken)
+        ordered = (a for a, pending in self.loading.items() if pending.accepted)
         return {
             *self.held,
-            *self.leaving,
+            *self.unloading,
             *self.unanswered,
-            *self.unsure,
+            *self.unconfirmed,
             *ordered,
         }
 
-    def free_places(self) -> int:
+    def free_adapter_slots(self) -> int:
         """Returns the places for adapters that are certainly free."""
-        return self.spec.adapter_slots - self.places_taken()
+        return self.spec.adapter_slots - self.used_adapter_slots()
 
-    def has_place_for(self, adapter: str, without: str = "") -> bool:
+    def fits_adapter(self, adapter: str, without: str = "") -> bool:
         """Whether an adapter fits in, by places and by megabytes.
 
         An engine whose memory is full may have places left: nothing could be
@@ -170,7 +175,7 @@
         """
         return fits(self.spec, (self._promised() - {without}) | {adapter})
 
-    def may_order(
+    def is_order_safe(
         self, action: Action, artifact: str, revision: int, now: float
     ) -> bool:
         """Whether an order can't take it over its places or room.
@@ -178,37 +183,43 @@
         Neither by itself nor by what may be carried out after it: an order
         moves the count by one, from where orders of an earlier start may run.
         """
-        after = set().union(*find_chain(self.strays, revision + 1, now))
+        after = set().union(
+            *find_load_chain(self.late_orders, revision + 1, now)
+        )
         if action is Action.UNLOAD and not after:
             # It makes room, however much is believed to be there.
             return True
-        return fits(self.spec, self.may_hold() | after | {artifact})
+        return fits(self.spec, self.possible_artifacts() | after | {artifact})
 
-    def must_ask(self, now: float) -> bool:
+    def needs_report(self, now: float) -> bool:
         """Whether a report must tell how many orders it took, or what it holds.
 
         Until then what is doubtful keeps its place; orders may go on.
         """
-        overdue = any(load.until <= now for load in self.unanswered.values())
-        return self.revision is None or overdue or bool(self.unsure)
+        overdue = any(
+            load.expires_at <= now for load in self.unanswered.values()
+        )
+        return self.revision is None or overdue or bool(self.unconfirmed)
 
-    def weights_taken(self) -> float:
+    def used_weights_mb(self) -> float:
         """Returns the megabytes that models and adapters may take."""
-        return weigh(self.spec, self.may_hold() | self.loading.keys())
+        return total_weights_mb(
+            self.spec, self.possible_artifacts() | self.loading.keys()
+        )
 
-    def has_room(self, model: str) -> bool:
+    def fits_model(self, model: str) -> bool:
         """Whether a base model fits beside what is there."""
         spec = self.spec.model(model)
         if spec is None:
             return False
-        return self.weights_taken() + spec.weights_mb <= self.spec.weights_mb
+        return self.used_weights_mb() + spec.weights_mb <= self.spec.weights_mb
 
     def is_busy(self) -> bool:
         """Whether it would refuse an order for something else."""
-        taken = sum(pending.taken for pending in self.loading.values())
-        return bool(self.waits_for) or taken >= LOADS_AT_ONCE
+        taken = sum(pending.accepted for pending in self.loading.values())
+        return bool(self.blocking_artifact) or taken >= MAX_CONCURRENT_LOADS
 
-    def note_taken(self, revision: int, now: float) -> None:
+    def record_accepted_order(self, revision: int, now: float) -> None:
         """Notes that an order was taken at the revision that it named."""
         for artifact, load in list(self.unanswered.items()):
             if load.revision is not None and load.revision <= revision:
@@ -216,20 +227,20 @@
                 # that count was learned.
                 del self.unanswered[artifact]
         self.revision = revision + 1
-        self.ordered_at = now
+        self.last_order_at = now
 
-    def note_under_way(self, artifact: str, now: float) -> None:
+    def record_load_in_progress(self, artifact: str, now: float) -> None:
         """Notes a load that was taken, and that nobody here waits for."""
         self.unanswered[artifact] = UnansweredLoad(now + _INCOMING_SECONDS)
 
-    def note_left(self, artifact: str, now: float) -> None:
+    def record_unloaded(self, artifact: str, now: float) -> None:
         """Notes that an adapter was unloaded; a copy stays near for a while."""
         self._left_at.pop(artifact, None)
         self._left_at[artifact] = now
         if len(self._left_at) > _LATELY_KEPT:
             del self._left_at[next(iter(self._left_at))]
 
-    def had_lately(self, artifact: str) -> bool:
+    def is_cached_locally(self, artifact: str) -> bool:
         """Whether it would load an adapter without the store."""
         return artifact in self._left_at
 
@@ -241,9 +252,9 @@
         """Whether the base model is there."""
         return model in self.held
 
-    def can_order(self, now: float) -> bool:
+    def accepts_orders(self, now: float) -> bool:
         """Whether it takes orders now, as far as is known."""
-        if self.draining or self.has_ended or not self.has_holder:
+        if self.draining or self.is_superseded or not self.has_holder:
             return False
         return now >= self.suspended_until
 
@@ -253,17 +264,19 @@
 
     # -- what it says --------------------------------------------------
 
-    def adopt(
-        self, resident: dict[str, int], handed_at: float = float("-inf")
+    def apply_resident(
+        self, resident: dict[str, int], assigned_at: float = float("-inf")
     ) -> None:
         """Takes what it holds as given, from a heartbeat or a predecessor.
 
         Args:
             resident: versions by artifact.
-            handed_at: until when a predecessor may have sent requests there.
+            assigned_at: until when a predecessor may have sent requests there.
         """
         for artifact, version in resident.items():
-            self.held[artifact] = Held(version, float("-inf"), handed_at)
+            self.held[artifact] = HeldArtifact(
+                version, float("-inf"), assigned_at
+            )
 
     def reconcile(self, resident: dict[str, int], now: float) -> list[str]:
         """Brings what is believed in line with a heartbeat, which may lag.
@@ -273,7 +286,7 @@
         """
         appeared = []
         for artifact, version in resident.items():
-            if artifact in self.leaving or artifact in self.loading:
+            if artifact in self.unloading or artifact in self.loading:
                 continue
             held = self.held.get(artifact)
             if held is None and self._may_be_old(artifact, now, _REPORT_LAG):
@@ -282,7 +295,7 @@
                 # Not ordered here, or an order without an answer came true.
                 self.held[artifact] = _learned(version)
                 self.unanswered.pop(artifact, None)
-                self.unsure.discard(artifact)
+                self.unconfirmed.discard(artifact)
                 appeared.append(artifact)
             elif version > held.version:
                 held.version = version
@@ -299,19 +312,19 @@
         Without this it would keep its place, and serve nobody, for good.
         """
         replaced = {pending.victim for pending in self.loading.values()}
-        for artifact, leaving in list(self.leaving.items()):
-            if now - leaving.at <= lag or artifact in replaced:
+        for artifact, leaving in list(self.unloading.items()):
+            if now - leaving.started_at <= lag or artifact in replaced:
                 continue
             if artifact not in resident:
-                del self.leaving[artifact]
-                self.unsure.add(artifact)
-            elif artifact != self.waits_for:
-                del self.leaving[artifact]
+                del self.unloading[artifact]
+                self.unconfirmed.add(artifact)
+            elif artifact != self.blocking_artifact:
+                del self.unloading[artifact]
                 self.held[artifact] = _learned(resident[artifact])
 
     def _drop_missing(self, resident: dict[str, int], now: float) -> None:
         for artifact, held in list(self.held.items()):
-            if artifact in resident or now - held.since < _REPORT_LAG:
+            if artifact in resident or now - held.loaded_at < _REPORT_LAG:
                 self._missed.pop(artifact, None)
                 continue
             missed = self._missed.get(artifact, 0) + 1
@@ -319,11 +332,11 @@
             if missed >= _MISSED_MOST:
                 del self.held[artifact]
                 del self._missed[artifact]
-                self.unsure.add(artifact)
+                self.unconfirmed.add(artifact)
 
-    def take_report(self, report: EngineReport, now: float) -> None:
+    def apply_report(self, report: EngineReport, now: float) -> None:
         """Takes a report that was asked for after a quiet moment."""
-        if report.busy and not self._knows_why_busy():
+        if report.busy and not self._is_busy_explained():
             # It doesn't tell which base model is on its way, and takes no
             # other order: once it is there, another report shows it.
             self.revision = None
@@ -332,24 +345,26 @@
         self._drop_unreported(report, now)
         self._settle_leaving(report.resident, now, _ASKED_REPORT_LAG)
         # Only what it says at a known count takes from what it may hold.
-        self.unsure.clear()
-        self.strays = [sent for sent in self.strays if sent.until > now]
+        self.unconfirmed.clear()
+        self.late_orders = [
+            sent for sent in self.late_orders if sent.expires_at > now
+        ]
         for artifact, load in list(self.unanswered.items()):
-            if load.until <= now or _is_past(load, report.revision):
+            if load.expires_at <= now or _is_past(load, report.revision):
                 del self.unanswered[artifact]
         for artifact in report.incoming:
             if artifact not in self.loading and artifact not in self.held:
-                self.note_under_way(artifact, now)
+                self.record_load_in_progress(artifact, now)
         for artifact, version in report.resident.items():
-            if artifact in self.held or artifact in self.leaving:
+            if artifact in self.held or artifact in self.unloading:
                 continue
             if not self._may_be_old(artifact, now, _ASKED_REPORT_LAG):
                 self.held[artifact] = _learned(version)
 
-    def _knows_why_busy(self) -> bool:
+    def _is_busy_explained(self) -> bool:
         """Whether an order is known that makes it take no other one."""
-        loading = (a for a, p in self.loading.items() if p.taken)
-        return bool(self.waits_for) or not all(map(is_adapter, loading))
+        loading = (a for a, p in self.loading.items() if p.accepted)
+        return bool(self.blocking_artifact) or not all(map(is_adapter, loading))
 
     def _drop_unreported(self, report: EngineReport, now: float) -> None:
         """Drops what an earlier owner unloaded without this one's knowledge.
@@ -358,14 +373,14 @@
         after which the engine would refuse every order for its wrong count.
         """
         for artifact, held in list(self.held.items()):
-            is_newer = now - held.since < _ASKED_REPORT_LAG
+            is_newer = now - held.loaded_at < _ASKED_REPORT_LAG
             if artifact not in report.resident and not is_newer:
                 del self.held[artifact]
 
 
-def _learned(version: int) -> Held:
+def _learned(version: int) -> HeldArtifact:
     """Returns something that was loaded by others, or nobody knows when."""
-    return Held(version, float("-inf"), float("-inf"))
+    return HeldArtifact(version, float("-inf"), float("-inf"))
 
 
 def _is_past(load: UnansweredLoad, revision: int) -> bool:
--- a/src/ridgesill/core/fleet/lateness.py
+++ b/src/ridgesill/core/fleet/lateness.py
@@ -13,8 +13,8 @@
 from ridgesill.core.fleet.wants import (
     LOAD_SECONDS,
     RELOAD_SECONDS,
+    ArtifactWaiters,
     Waiter,
-    Waiting,
 )
 from ridgesill.core.serving.rank import rank_request
 
@@ -37,7 +37,9 @@
 
 def load_seconds(engine: Engine, artifact: str) -> float:
     """Returns how long an engine takes to have an adapter."""
-    return RELOAD_SECONDS if engine.had_lately(artifact) else LOAD_SECONDS
+    return (
+        RELOAD_SECONDS if engine.is_cached_locally(artifact) else LOAD_SECONDS
+    )
 
 
 def share_late(slack: float) -> float:
@@ -51,7 +53,7 @@
 
 
 def count_late(
-    waiting: Waiting, engine: Engine, backlogs: Backlogs, now: float
+    waiting: ArtifactWaiters, engine: Engine, backlogs: Backlogs, now: float
 ) -> float:
     """Returns how many of those who wait would be late on an engine."""
     arrives_in = load_seconds(engine, waiting.want.artifact)
--- a/src/ridgesill/core/fleet/model_rate.py
+++ b/src/ridgesill/core/fleet/model_rate.py
@@ -9,13 +9,13 @@
 _SHARE_USED = 0.5
 
 
-class ModelRate:
+class ModelLoadRate:
     """Counts loads of base models over a sliding window."""
 
     def __init__(self) -> None:
         self._taken: collections.deque[float] = collections.deque()
 
-    def take(self, loads_per_second: float, now: float) -> bool:
+    def acquire(self, loads_per_second: float, now: float) -> bool:
         """Counts a load; False when it has to wait."""
         while self._taken and now - self._taken[0] >= _WINDOW_SECONDS:
             self._taken.popleft()
--- a/src/ridgesill/core/fleet/order_leases.py
+++ b/src/ridgesill/core/fleet/order_leases.py
@@ -20,13 +20,13 @@
 from ridgesill.core.state import Owner
 
 # Prefix of the pools in the log that stand for an engine's orders.
-PREFIX = "orders/"
+ORDER_POOL_PREFIX = "orders/"
 # How old a stamp may be when its holder delivers an order, in seconds: five
 # times as long as holders take to send the next one, so that lost packets
 # don't stop them; all that a longer one costs is a later successor.
-STAMP_SECONDS = 0.5
+STAMP_LIFETIME_SECONDS = 0.5
 # How often holders send one, in seconds.
-STAMP_EVERY = 0.1
+STAMP_INTERVAL_SECONDS = 0.1
 # A leader uses only a holder that it has heard within this time, in seconds;
 # the rest of the stamp's life is for the way of the order.
 _USABLE_SECONDS = 0.35
@@ -39,7 +39,7 @@
 
 
 @attrs.frozen
-class Place:
+class EngineLocation:
     """Where an engine is reached, and its data centre."""
 
     address: str
@@ -47,7 +47,7 @@
 
 
 @attrs.frozen
-class Grant:
+class LeaseGrant:
     """A lease to be granted: orders to an address, through a node."""
 
     address: str
@@ -55,7 +55,7 @@
 
 
 @attrs.frozen
-class Holder:
+class LeaseHolder:
     """A VM that delivers orders.
 
     Attributes:
@@ -86,7 +86,7 @@
     def __init__(self, lease: float) -> None:
         # From the last stamp of a silent holder until another may order: the
         # stamp's life, the lease, and an order on its way.
-        self._free_after = STAMP_SECONDS + lease + _MARGIN
+        self._free_after = STAMP_LIFETIME_SECONDS + lease + _MARGIN
         self._heard: dict[str, _Heard] = {}
         # Who was last used for each address, and when.
         self._used: dict[str, tuple[str, float]] = {}
@@ -106,30 +106,30 @@
         self._began_at = now
         self._silent_from = predecessor_until
 
-    def hear(
+    def record_stamp(
         self, name: str, stamp: float, data_centre: str, now: float
     ) -> None:
         """Notes a stamp of a VM that can hold leases."""
         self._heard[name] = _Heard(stamp, now, data_centre)
 
-    def is_heard(self, name: str, now: float) -> bool:
+    def is_reachable(self, name: str, now: float) -> bool:
         """Whether orders can go through a VM now."""
         heard = self._heard.get(name)
         return heard is not None and now - heard.at <= _USABLE_SECONDS
 
-    def holder(
+    def find_holder(
         self, address: str, owners: Mapping[str, Owner], now: float
-    ) -> Holder | None:
+    ) -> LeaseHolder | None:
         """Returns the VM that may deliver orders to an engine now, if any."""
-        owner = owners.get(PREFIX + address)
-        if owner is None or not self.is_heard(owner.node, now):
+        owner = owners.get(ORDER_POOL_PREFIX + address)
+        if owner is None or not self.is_reachable(owner.node, now):
             return None
         if now < self._other_until(address, owner.node):
             return None
         stamp = self._heard[owner.node].stamp
-        return Holder(owner.node, owner.epoch, stamp)
+        return LeaseHolder(owner.node, owner.epoch, stamp)
 
-    def note_used(self, address: str, name: str, now: float) -> None:
+    def record_use(self, address: str, name: str, now: float) -> None:
         """Notes that an order goes to an address through a VM."""
         self._used[address] = (name, now)
 
@@ -147,9 +147,9 @@
     @property
     def delivered_until(self) -> float:
         """Until when orders of an earlier leader may have been delivered."""
-        return self._silent_from + STAMP_SECONDS
+        return self._silent_from + STAMP_LIFETIME_SECONDS
 
-    def free_from(self, name: str) -> float:
+    def reassignable_from(self, name: str) -> float:
         """Returns from when another VM may order what a silent one held.
 
         It may have fallen silent after a word to this leader, while an earlier
@@ -161,7 +161,7 @@
             silent_from = max(silent_from, heard.at)
         return silent_from + self._free_after
 
-    def usable_from(
+    def orders_possible_from(
         self,
         addresses: Iterable[str],
         owners: Mapping[str, Owner],
@@ -173,13 +173,13 @@
         """
         moments = [float("inf")]
         for address in addresses:
-            owner = owners.get(PREFIX + address)
+            owner = owners.get(ORDER_POOL_PREFIX + address)
             if owner is None:
                 moments.append(max(self._began_at + _GATHER_SECONDS, now))
-            elif self.holder(address, owners, now) is not None:
+            elif self.find_holder(address, owners, now) is not None:
                 return float("-inf")
             else:
-                moments.append(max(self.free_from(owner.node), now))
+                moments.append(max(self.reassignable_from(owner.node), now))
         # A holder that has not been heard yet mostly is within a stamp's time.
         if now < self._began_at + _GATHER_SECONDS:
             moments.append(self._began_at + _GATHER_SECONDS)
@@ -187,11 +187,11 @@
 
     def choose_grants(
         self,
-        places: Iterable[Place],
+        places: Iterable[EngineLocation],
         owners: Mapping[str, Owner],
         leader: str,
         now: float,
-    ) -> list[Grant]:
+    ) -> list[LeaseGrant]:
         """Returns the grants to propose.
 
         Those that nobody holds, or a VM that is silent and whose lease is
@@ -200,12 +200,12 @@
         """
         if now < self._began_at + _GATHER_SECONDS:
             return []
-        alive = {name for name in self._heard if self.is_heard(name, now)}
+        alive = {name for name in self._heard if self.is_reachable(name, now)}
         candidates = alive - {leader} or alive
         counts = dict.fromkeys(candidates, 0)
         wanting = []
         for place in places:
-            owner = owners.get(PREFIX + place.address)
+            owner = owners.get(ORDER_POOL_PREFIX + place.address)
             if owner is not None and owner.node in counts:
                 counts[owner.node] += 1
             if self._is_free(owner, alive, now):
@@ -215,7 +215,7 @@
             name = self._choose(place, counts)
             if name:
                 counts[name] += 1
-                grants.append(Grant(place.address, name))
+                grants.append(LeaseGrant(place.address, name))
         return grants
 
     def _is_free(
@@ -223,9 +223,11 @@
     ) -> bool:
         if owner is None:
             return True
-        return owner.node not in alive and now >= self.free_from(owner.node)
+        return owner.node not in alive and now >= self.reassignable_from(
+            owner.node
+        )
 
-    def _choose(self, place: Place, counts: dict[str, int]) -> str:
+    def _choose(self, place: EngineLocation, counts: dict[str, int]) -> str:
         """Returns who holds least; of those, one near the engine."""
 
         def cost(name: str) -> tuple[int, bool, str]:
@@ -235,10 +237,12 @@
         return min(counts, key=cost, default="")
 
 
-def held_addresses(owners: Mapping[str, Owner]) -> list[str]:
+def leased_addresses(owners: Mapping[str, Owner]) -> list[str]:
     """Returns the engines' addresses for which a lease is granted."""
     return [
-        pool.removeprefix(PREFIX) for pool in owners if pool.startswith(PREFIX)
+        pool.removeprefix(ORDER_POOL_PREFIX)
+        for pool in owners
+        if pool.startswith(ORDER_POOL_PREFIX)
     ]
 
 
@@ -267,4 +271,4 @@
         if holder != self._name or term < self._term:
             return False
         self._term = term
-        return 0 <= self._clock() - stamp <= STAMP_SECONDS
+        return 0 <= self._clock() - stamp <= STAMP_LIFETIME_SECONDS
--- a/src/ridgesill/core/fleet/placement.py
+++ b/src/ridgesill/core/fleet/placement.py
@@ -5,14 +5,14 @@
 
 import attrs
 
-from ridgesill.core.fleet.engines import LOADS_AT_ONCE, Engine
-from ridgesill.core.fleet.room import is_adapter, model_of
+from ridgesill.core.fleet.engine_capacity import is_adapter, model_of
+from ridgesill.core.fleet.engines import MAX_CONCURRENT_LOADS, Engine
 from ridgesill.core.pool.popularity import Popularity
 
 # Half-life of requests counted for an adapter's worth, in seconds: some
 # thousand requests, since a few at a time lose their demand and keep a place
 # too long, but a shorter memory forgets the many of middling demand.
-HALF_LIFE = 60.0
+HALF_LIFE_SECONDS = 60.0
 # What a full batch costs beside the worth of what gives way, in requests, and
 # each second of reading ahead: a request that waits so long is late.
 _BUSY_COST = 2.0
@@ -41,7 +41,7 @@
 
 
 @attrs.frozen
-class Choice:
+class LoadTarget:
     """Where to load, and what is unloaded first.
 
     Attributes:
@@ -64,7 +64,7 @@
     """
 
     busy: dict[str, int]
-    using: Callable[[str], set[str]]
+    in_use: Callable[[str], set[str]]
     is_settled: Callable[[float], bool]
     backlog: Callable[[str], float] = lambda _engine: 0.0
 
@@ -72,21 +72,21 @@
 class Placement:
     """Ranks engines and what they hold, by decayed frequency."""
 
-    def __init__(self, half_life: float = HALF_LIFE) -> None:
+    def __init__(self, half_life: float = HALF_LIFE_SECONDS) -> None:
         self.popularity = Popularity(half_life)
         self.engines: dict[str, Engine] = {}
 
-    def note_used(self, used: dict[str, int], now: float) -> None:
+    def record_requests(self, used: dict[str, int], now: float) -> None:
         """Counts requests by artifact."""
         for artifact, count in used.items():
             for _ in range(min(count, _MOST_COUNTED)):
                 self.popularity.note(artifact, now)
 
-    def survey(
+    def take_snapshot(
         self, engines: Sequence[Engine], demand: Demand, now: float
-    ) -> "Survey":
+    ) -> "PlacementSnapshot":
         """Returns a basis for choices that are made at the same moment."""
-        return Survey(self.popularity, engines, demand, now)
+        return PlacementSnapshot(self.popularity, engines, demand, now)
 
     def choose_for_model(
         self,
@@ -94,21 +94,21 @@
         engines: Sequence[Engine],
         busy: dict[str, int],
         now: float,
-    ) -> Choice | None:
+    ) -> LoadTarget | None:
         """Returns where to load a base model, if one has room for it."""
         roomy = [
             engine
             for engine in engines
-            if engine.can_order(now)
+            if engine.accepts_orders(now)
             and not engine.is_busy()
             and not engine.loading
-            and engine.has_room(model)
+            and engine.fits_model(model)
         ]
         best = min(roomy, key=lambda e: busy.get(e.name, 0), default=None)
-        return Choice(best) if best else None
+        return LoadTarget(best) if best else None
 
 
-class Survey:
+class PlacementSnapshot:
     """Engines and what each could give up, looked at once for many choices.
 
     Args:
@@ -153,21 +153,21 @@
         artifact: str,
         data_centre: str = "",
         avoid: Collection[str] = (),
-        loading_most: int = LOADS_AT_ONCE - 1,
+        max_loading: int = MAX_CONCURRENT_LOADS - 1,
         lateness: Callable[[Engine], float] = lambda _engine: 0.0,
-    ) -> Choice | None:
+    ) -> LoadTarget | None:
         """Returns where to load an adapter, or None if nothing can give way.
 
         Args:
             artifact: the adapter.
             data_centre: where it is wanted; empty for no matter.
             avoid: engines that are not to be chosen.
-            loading_most: loads under way on an engine that gets another one.
+            max_loading: loads under way on an engine that gets another one.
             lateness: returns how many of those who wait would be late there.
         """
-        best: tuple[float, Choice] | None = None
+        best: tuple[float, LoadTarget] | None = None
         for engine in self.engines:
-            if engine.name in avoid or len(engine.loading) > loading_most:
+            if engine.name in avoid or len(engine.loading) > max_loading:
                 continue
             ranked = self._rank(artifact, engine)
             if ranked is None:
@@ -182,37 +182,37 @@
 
     def _rank(
         self, artifact: str, engine: Engine
-    ) -> tuple[float, Choice] | None:
+    ) -> tuple[float, LoadTarget] | None:
         if not self._may_load(artifact, engine):
             return None
         cost = _LOADING_COST * len(engine.loading)
         cost += _BUSY_COST * self.busy_share(engine)
         cost += _BACKLOG_COST * self.backlog(engine)
-        if engine.had_lately(artifact):
+        if engine.is_cached_locally(artifact):
             cost -= _LATELY_BONUS
-        if engine.has_place_for(artifact):
-            return cost, Choice(engine)
+        if engine.fits_adapter(artifact):
+            return cost, LoadTarget(engine)
         victim = self.victim(engine)
-        if victim is None or not engine.has_place_for(artifact, victim):
+        if victim is None or not engine.fits_adapter(artifact, victim):
             return None
-        return cost + self.worth(victim), Choice(engine, victim)
+        return cost + self.worth(victim), LoadTarget(engine, victim)
 
     def _may_load(self, artifact: str, engine: Engine) -> bool:
         return (
-            engine.can_order(self.now)
+            engine.accepts_orders(self.now)
             and not engine.is_busy()
             and engine.has_model(model_of(artifact))
             and artifact not in engine.held
             and artifact not in engine.loading
-            and artifact not in engine.leaving
+            and artifact not in engine.unloading
         )
 
-    def crowded(self) -> set[str]:
+    def crowded_engines(self) -> set[str]:
         """Returns the engines without places to spare."""
         return {e.name for e in self.engines if not self._has_spare(e)}
 
     def _has_spare(self, engine: Engine) -> bool:
-        using = self._demand.using(engine.name)
+        using = self._demand.in_use(engine.name)
         in_use = sum(artifact in using for artifact in engine.held)
         taken = in_use + len(engine.loading)
         places = engine.spec.adapter_slots
@@ -225,35 +225,39 @@
         return self._victims[engine.name]
 
     def _find_victim(self, engine: Engine) -> str | None:
-        using = self._demand.using(engine.name)
+        using = self._demand.in_use(engine.name)
         idle = [
             artifact
             for artifact, held in engine.held.items()
             if is_adapter(artifact)
             and artifact not in using
             and artifact not in engine.loading
-            and self._demand.is_settled(max(held.handed_at, held.since))
+            and self._demand.is_settled(max(held.assigned_at, held.loaded_at))
         ]
         return min(idle, key=lambda a: (self.worth(a), a), default=None)
 
     def describe(self) -> dict[str, int]:
         """Returns counts that say why an adapter finds no place."""
         using = [
-            self._demand.using(e.name) & e.held.keys() for e in self.engines
+            self._demand.in_use(e.name) & e.held.keys() for e in self.engines
         ]
         return {
             "engines": len(self.engines),
-            "suspended": sum(not e.can_order(self.now) for e in self.engines),
-            "waiting_for_runs": sum(bool(e.waits_for) for e in self.engines),
+            "suspended": sum(
+                not e.accepts_orders(self.now) for e in self.engines
+            ),
+            "waiting_for_runs": sum(
+                bool(e.blocking_artifact) for e in self.engines
+            ),
             "unknown_revision": sum(e.revision is None for e in self.engines),
             "held": sum(len(e.held) for e in self.engines),
             "in_use": sum(map(len, using)),
             "loading": sum(len(e.loading) for e in self.engines),
-            "leaving": sum(len(e.leaving) for e in self.engines),
+            "leaving": sum(len(e.unloading) for e in self.engines),
             "unanswered": sum(len(e.unanswered) for e in self.engines),
             "requests": sum(self._demand.busy.values()),
         }
 
-    def note_chosen(self, engine: Engine) -> None:
+    def invalidate_engine(self, engine: Engine) -> None:
         """Looks at an engine anew: something was chosen for it."""
         self._victims.pop(engine.name, None)
--- a/src/ridgesill/core/fleet/reading_time.py
+++ b/src/ridgesill/core/fleet/reading_time.py
@@ -92,7 +92,7 @@
         pace = self._paces.get(engine)
         return self._mean_pace() if pace is None else pace
 
-    def note(self, engine: str, tokens: int, seconds: float) -> None:
+    def record(self, engine: str, tokens: int, seconds: float) -> None:
         """Takes how long an engine took for a prompt."""
         if tokens < _TELLING_TOKENS or seconds <= 0:
             return
@@ -104,7 +104,7 @@
         self._paces[engine] = pace * (1 + _SMOOTHING * (share - 1))
         self._curve.note(tokens, seconds / pace)
 
-    def keep_only(self, engines: set[str]) -> None:
+    def discard_except(self, engines: set[str]) -> None:
         """Forgets engines that are gone."""
         for name in list(self._paces):
             if name not in engines:
--- a/src/ridgesill/core/fleet/sent_orders.py
+++ b/src/ridgesill/core/fleet/sent_orders.py
@@ -36,7 +36,7 @@
     artifact: str
     start: int
     revision: int
-    until: float
+    expires_at: float
 
 
 class SentOrders:
@@ -45,7 +45,7 @@
     def __init__(self) -> None:
         self._sent: dict[str, collections.deque[SentOrder]] = {}
 
-    def note(
+    def record(
         self, instance: str, start: int, order: FleetOrder, now: float
     ) -> SentOrder:
         """Notes an order that is about to leave."""
@@ -54,31 +54,33 @@
         kept.append(sent)
         return sent
 
-    def settle(self, instance: str, sent: SentOrder) -> None:
+    def discard(self, instance: str, sent: SentOrder) -> None:
         """Notes that an order was answered, or surely never left."""
         kept = self._sent.get(instance)
         if kept is not None and sent in kept:
             kept.remove(sent)
 
-    def strays(self, instance: str, start: int, now: float) -> list[SentOrder]:
+    def late_orders(
+        self, instance: str, start: int, now: float
+    ) -> list[SentOrder]:
         """Returns what was meant for earlier starts and may run on this one."""
         return [
             sent
             for sent in self._sent.get(instance, ())
-            if sent.start != start and sent.until > now
+            if sent.start != start and sent.expires_at > now
         ]
 
-    def chain_with(
+    def possible_loads_after(
         self, instance: str, order: FleetOrder, now: float
     ) -> list[set[str]]:
         """Returns what a next start may load by itself, were an order sent."""
         kept = self._sent.get(instance, ())
-        return find_chain([*kept, _to_sent(order, 0, now)], 0, now)
+        return find_load_chain([*kept, _to_sent(order, 0, now)], 0, now)
 
-    def forget_past(self, now: float) -> None:
+    def prune_expired(self, now: float) -> None:
         """Forgets what can't be carried out any more."""
         for instance, kept in list(self._sent.items()):
-            while kept and kept[0].until <= now:
+            while kept and kept[0].expires_at <= now:
                 kept.popleft()
             if not kept:
                 del self._sent[instance]
@@ -89,7 +91,7 @@
     return SentOrder(order.action, order.artifact, start, order.revision, until)
 
 
-def find_chain(
+def find_load_chain(
     strays: list[SentOrder], revision: int, now: float
 ) -> list[set[str]]:
     """Returns what an engine may load by itself from a count on.
@@ -109,7 +111,7 @@
     """
     by_count: dict[int, set[str]] = {}
     for sent in strays:
-        if sent.until > now:
+        if sent.expires_at > now:
             loads = by_count.setdefault(sent.revision, set())
             if sent.action is Action.LOAD:
                 loads.add(sent.artifact)
--- a/src/ridgesill/core/fleet/wants.py
+++ b/src/ridgesill/core/fleet/wants.py
@@ -31,14 +31,14 @@
     request: str = ""
     tokens: int = 0
 
-    def can_be_in_time(self, now: float) -> bool:
+    def can_meet_goal(self, now: float) -> bool:
         """Whether a load that begins now comes early enough."""
         seconds = LOAD_SECONDS + self.read_seconds
         return self.goal_at >= now + seconds
 
 
 @attrs.define(eq=False)
-class Waiting:
+class ArtifactWaiters:
     """All requests that wait for the same artifact.
 
     Attributes:
@@ -51,22 +51,22 @@
     asked_at: float
     waiters: list[Waiter] = attrs.Factory(list)
     avoid: set[str] = attrs.Factory(set)
-    tries: int = 0
+    failed_loads: int = 0
 
     def value(self, now: float) -> float:
         """Returns what a load that begins now is worth, in requests."""
         return sum(
-            1.0 if waiter.can_be_in_time(now) else _LATE_WORTH
+            1.0 if waiter.can_meet_goal(now) else _LATE_WORTH
             for waiter in self.waiters
         )
 
-    def can_be_in_time(self, now: float) -> bool:
+    def can_meet_goal(self, now: float) -> bool:
         """Whether a load that begins now comes early enough for any."""
-        return any(waiter.can_be_in_time(now) for waiter in self.waiters)
+        return any(waiter.can_meet_goal(now) for waiter in self.waiters)
 
-    def first_goal(self, now: float) -> float:
+    def earliest_goal(self, now: float) -> float:
         """Returns the earliest goal that can still be met, or infinity."""
-        goals = (w.goal_at for w in self.waiters if w.can_be_in_time(now))
+        goals = (w.goal_at for w in self.waiters if w.can_meet_goal(now))
         return min(goals, default=float("inf"))
 
 
@@ -82,33 +82,33 @@
     """
 
     def __init__(self) -> None:
-        self._waiting: dict[tuple[str, str], Waiting] = {}
+        self._waiting: dict[tuple[str, str], ArtifactWaiters] = {}
 
     def __len__(self) -> int:
         return len(self._waiting)
 
-    def __contains__(self, waiting: Waiting) -> bool:
+    def __contains__(self, waiting: ArtifactWaiters) -> bool:
         key = (waiting.want.service, waiting.want.artifact)
         return self._waiting.get(key) is waiting
 
-    def add(self, waiting: Waiting) -> None:
+    def add(self, waiting: ArtifactWaiters) -> None:
         """Takes what waits for a place."""
         want = waiting.want
         self._waiting[(want.service, want.artifact)] = waiting
 
-    def discard(self, waiting: Waiting) -> None:
+    def discard(self, waiting: ArtifactWaiters) -> None:
         """Forgets what waits no more."""
         if waiting in self:
             del self._waiting[(waiting.want.service, waiting.want.artifact)]
 
-    def ranked(self, now: float) -> list[Waiting]:
+    def ranked(self, now: float) -> list[ArtifactWaiters]:
         """Returns all, those that should get a place first at the start."""
         return sorted(
             self._waiting.values(),
             key=lambda waiting: (
                 -waiting.value(now),
                 waiting.want.answer_tokens,
-                waiting.first_goal(now),
+                waiting.earliest_goal(now),
                 waiting.asked_at,
             ),
         )
--- a/src/ridgesill/standin/emulator/world.py
+++ b/src/ridgesill/standin/emulator/world.py
@@ -299,7 +299,7 @@
     if isinstance(message, HolderAlive):
         return owner.hear_holder(message)
     if isinstance(message, DeliverOrder):
-        return await owner.holder.handle(message)
+        return await owner.holder.handle_order(message)
     if isinstance(message, ReadingEnded):
         return await owner.handle_reading_ended(sender, message)
     raise PeerError(type(message).__name__, sender, "unknown message")
--- a/src/ridgesill/standin/engine.py
+++ b/src/ridgesill/standin/engine.py
@@ -113,7 +113,7 @@
         self.incarnation = secrets.token_hex(4)
         self.resident: set[str] = set()
         self.counts = Counts()
-        self.leaving = False
+        self.unloading = False
         self._rng = rng
         self._journal = journal
         self._loading: set[str] = set()
@@ -182,7 +182,7 @@
         """
         if sequence.adapter not in self.resident:
             raise AbsentError(sequence.adapter)
-        if self.leaving:
+        if self.unloading:
             raise BusyError("leaving")
         self._running[sequence.request] = sequence
         self._journal(
--- a/src/ridgesill/standin/process.py
+++ b/src/ridgesill/standin/process.py
@@ -283,7 +283,7 @@
             settings.model.batch,
             tuple(sorted(engine.resident)),
             active,
-            engine.leaving,
+            engine.unloading,
             next(self._numbers),
         )
 
@@ -328,7 +328,7 @@
         asyncio.create_task(announcer.run()),
     ]
     await stop.wait()
-    engine.leaving = True
+    engine.unloading = True
     await loop.run_in_executor(None, announcer.tell, announcer.announcement())
     while engine.active or (plain and plain.active):
         await asyncio.sleep(0.05)
--- a/testing/app/engine_world.py
+++ b/testing/app/engine_world.py
@@ -47,7 +47,7 @@
     held: dict[str, int] = attrs.Factory(dict)
     incoming: dict[str, float] = attrs.Factory(dict)
     used: set[str] = attrs.Factory(set)
-    waits_for: str = ""
+    blocking_artifact: str = ""
     reports: list[tuple[float, dict[str, Any]]] = attrs.Factory(list)
 
     def settle(self, now: float) -> None:
@@ -56,9 +56,9 @@
             if now >= ready_at:
                 del self.incoming[adapter]
                 self.held[adapter] = 1
-        if self.waits_for and self.waits_for not in self.used:
-            self.held.pop(self.waits_for, None)
-            self.waits_for = ""
+        if self.blocking_artifact and self.blocking_artifact not in self.used:
+            self.held.pop(self.blocking_artifact, None)
+            self.blocking_artifact = ""
 
     def order(self, body: dict[str, Any], now: float) -> int:
         """Carries out an order; returns the status of its answer."""
@@ -69,11 +69,15 @@
             return 409
         if is_load and adapter in self.incoming:
             return 202
-        if is_load and adapter in self.held and adapter != self.waits_for:
+        if (
+            is_load
+            and adapter in self.held
+            and adapter != self.blocking_artifact
+        ):
             return 200
         if not is_load and adapter not in self.held:
             return 200
-        if self.waits_for:
+        if self.blocking_artifact:
             return 409
         return self._load(adapter, now) if is_load else self._unload(adapter)
 
@@ -89,7 +93,7 @@
     def _unload(self, adapter: str) -> int:
         self.taken += 1
         if adapter in self.used:
-            self.waits_for = adapter
+            self.blocking_artifact = adapter
             return 202
         del self.held[adapter]
         return 200
@@ -98,7 +102,7 @@
         """Returns what it would say of itself without delay."""
         return {
             "sequence": self.taken,
-            "busy_slots": bool(self.waits_for),
+            "busy_slots": bool(self.blocking_artifact),
             "models": [
                 {
                     "name": MODEL,
@@ -236,7 +240,7 @@
         self.placement = Placement()
         for address, simulated in by_address.items():
             engine = Engine(simulated.name, address, "a", spec)
-            engine.adopt({MODEL: 1})
+            engine.apply_resident({MODEL: 1})
             self.placement.engines[simulated.name] = engine
         self.authority: Authority | None = Authority("vm", 7)
         self.versions: dict[str, int] = {}
--- a/testing/app/order_world.py
+++ b/testing/app/order_world.py
@@ -215,7 +215,7 @@
         if isinstance(message, HolderAlive):
             return member.owner.hear_holder(message)
         if isinstance(message, DeliverOrder):
-            return await member.owner.holder.handle(message)
+            return await member.owner.holder.handle_order(message)
         raise PeerError(type(message).__name__, sender, "unknown message")
 
     # -- engines and callers -------------------------------------------
--- a/testing/app/test_fleet_loads.py
+++ b/testing/app/test_fleet_loads.py
@@ -40,7 +40,7 @@
     async def test_the_least_wanted_gives_way(self) -> None:
         world = EngineWorld(1, 2)
         now = world.loop.time()
-        world.placement.note_used({"base/a1": 9, "base/a2": 2}, now)
+        world.placement.record_requests({"base/a1": 9, "base/a2": 2}, now)
         for adapter in ("a1", "a2"):
             await world.loads.want(want(adapter))
         await asyncio.sleep(1.0)
@@ -97,7 +97,7 @@
         world.simulated[0].used.add("a1")
         world.loads.engine_loads.let_go(engine, "base/a1")
         await world.loads.engine_loads.unload(engine, "base/a1")
-        assert engine.waits_for == "base/a1"
+        assert engine.blocking_artifact == "base/a1"
         await asyncio.sleep(1.0)
         world.simulated[0].used.clear()
         assert (await world.loads.want(want("a3"))).upstream == "u0"
@@ -149,14 +149,16 @@
     async def test_what_others_hold_goes_there(self) -> None:
         world = EngineWorld(4, 6)
         for engine in world.placement.engines.values():
-            engine.adopt({"base/a1": 1})
+            engine.apply_resident({"base/a1": 1})
         # Those sent until the first two fronts have given up their channels,
         # and one at a time from then on.
         assert await self.lose(world, ["a1"]) <= 0.6 * 12 + 3
 
     async def test_what_it_alone_holds_is_loaded_elsewhere(self) -> None:
         world = EngineWorld(4, 6)
-        world.placement.engines["u0"].adopt({"base/a1": 1, "base/a2": 1})
+        world.placement.engines["u0"].apply_resident(
+            {"base/a1": 1, "base/a2": 1}
+        )
         assert await self.lose(world, ["a1", "a2"]) <= 0.6 * 12 + 3
 
     async def test_nothing_is_loaded_there(self) -> None:
@@ -177,7 +179,7 @@
         world.versions["base/a1"] = 2
         engine = world.placement.engines["u0"]
         world.simulated[0].used.add("other")
-        world.simulated[0].waits_for = "other"
+        world.simulated[0].blocking_artifact = "other"
         world.loads.engine_loads.let_go(engine, "base/a1")
         assert not await world.loads.engine_loads.unload(engine, "base/a1")
         assert engine.held["base/a1"].version == 1
@@ -199,7 +201,9 @@
             if number == 100:
                 world.channels.lost = 0.0
             adapter = f"a{int(rng.paretovariate(0.8)) % 40}"
-            world.placement.note_used({f"base/{adapter}": 1}, world.loop.time())
+            world.placement.record_requests(
+                {f"base/{adapter}": 1}, world.loop.time()
+            )
             answer = await world.loads.want(want(adapter))
             served += bool(answer.upstream)
             await asyncio.sleep(rng.uniform(0.0, 0.2))
--- a/testing/app/test_fleet_upkeep.py
+++ b/testing/app/test_fleet_upkeep.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from ridgesill.core.fleet.engines import Held
+from ridgesill.core.fleet.engines import HeldArtifact
 from ridgesill.core.fleet.messages import WantArtifact
 from testing.app.engine_world import EngineWorld
 
@@ -36,7 +36,9 @@
         world = EngineWorld(2, 2)
         name = await load(world, "a1")
         other = next(n for n in world.placement.engines if n != name)
-        world.placement.engines[other].held["base/a1"] = Held(2, 0.0, 0.0)
+        world.placement.engines[other].held["base/a1"] = HeldArtifact(
+            2, 0.0, 0.0
+        )
         world.versions["base/a1"] = 2
         tending = asyncio.create_task(world.tend())
         await asyncio.sleep(1.0)
@@ -50,12 +52,14 @@
         simulated = next(e for e in world.simulated if e.name == name)
         simulated.used.add("a1")
         other = next(n for n in world.placement.engines if n != name)
-        world.placement.engines[other].held["base/a1"] = Held(2, 0.0, 0.0)
+        world.placement.engines[other].held["base/a1"] = HeldArtifact(
+            2, 0.0, 0.0
+        )
         world.versions["base/a1"] = 2
         tending = asyncio.create_task(world.tend())
         # An answer of 300 tokens takes up to eight seconds.
         await asyncio.sleep(8.0)
-        assert not engine.waits_for
+        assert not engine.blocking_artifact
         simulated.used.clear()
         await asyncio.sleep(1.0)
         tending.cancel()
@@ -67,7 +71,7 @@
         world = EngineWorld(4, 2)
         name = await load(world, "a1")
         now = world.loop.time()
-        world.placement.note_used({"base/a1": 100}, now)
+        world.placement.record_requests({"base/a1": 100}, now)
         world.busy[name] = 8
         tending = asyncio.create_task(world.tend())
         await asyncio.sleep(0.7)
@@ -83,7 +87,7 @@
         world = EngineWorld(2, 2)
         await load(world, "a1")
         now = world.loop.time()
-        world.placement.note_used({"base/a1": 100}, now)
+        world.placement.record_requests({"base/a1": 100}, now)
         world.busy.update({"u0": 8, "u1": 8})
         tending = asyncio.create_task(world.tend())
         await asyncio.sleep(1.0)
--- a/testing/app/test_late_orders.py
+++ b/testing/app/test_late_orders.py
@@ -45,7 +45,7 @@
         tending = asyncio.create_task(world.tend())
         # Somebody else's load is due to be asked about while copies of a2's
         # are sent: four of them unheard, and carried out after 2 s and more.
-        engine.note_under_way("base/other", world.loop.time() - 0.95)
+        engine.record_load_in_progress("base/other", world.loop.time() - 0.95)
         world.channels.fates.extend([2.0, 3.0, 10.0, 11.0])
         await world.loads.want(want("a2"))
         await asyncio.sleep(3.0)
@@ -65,8 +65,8 @@
         await world.loads.want(want("a1"))
         engine = world.placement.engines["u0"]
         authority, world.authority = world.authority, None
-        verdict = await world.orders.give(Action.LOAD, engine, "base/a2")
+        verdict = await world.orders.send_order(Action.LOAD, engine, "base/a2")
         assert verdict is OrderVerdict.REFUSED
         world.authority = authority
         assert engine.revision == 1
-        assert engine.can_order(world.loop.time())
+        assert engine.accepts_orders(world.loop.time())
--- a/testing/core/fleet/test_assignment.py
+++ b/testing/core/fleet/test_assignment.py
@@ -12,7 +12,7 @@
 def engine(name: str, data_centre: str = "a", version: int = 1) -> Engine:
     """Returns an engine that holds the adapter that is wanted."""
     made = Engine(name, f"{name}:80", data_centre, SPEC)
-    made.adopt({"base": 1, "base/a1": version})
+    made.apply_resident({"base": 1, "base/a1": version})
     return made
 
 
--- a/testing/core/fleet/test_copies.py
+++ b/testing/core/fleet/test_copies.py
@@ -16,13 +16,13 @@
         self.placement = Placement()
         self.holder = Engine("e0", "e0:80", "a", SPEC)
         self.other = Engine("e1", "e1:80", "a", SPEC)
-        self.holder.adopt({"base": 1, HOT: 1})
-        self.other.adopt({"base": 1})
+        self.holder.apply_resident({"base": 1, HOT: 1})
+        self.other.apply_resident({"base": 1})
         self.busy: dict[str, int] = {}
         self.backlog: dict[str, float] = {}
         for number in range(100):
             name = HOT if number % 4 == 0 else f"base/a{number}"
-            self.placement.note_used({name: 1}, 0.0)
+            self.placement.record_requests({name: 1}, 0.0)
 
     def copies(self) -> list[tuple[str, str]]:
         """Returns adapters and the engines that get them."""
@@ -33,8 +33,8 @@
             lambda engine: self.backlog.get(engine, 0.0),
         )
         engines = [self.holder, self.other]
-        survey = self.placement.survey(engines, demand, 0.0)
-        chosen = choose_copies(self.placement.popularity, survey)
+        placement_snapshot = self.placement.take_snapshot(engines, demand, 0.0)
+        chosen = choose_copies(self.placement.popularity, placement_snapshot)
         return [(artifact, choice.engine.name) for artifact, choice in chosen]
 
 
--- a/testing/core/fleet/test_room.py
+++ b/testing/core/fleet/test_engine_capacity.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from ridgesill.core.fleet.room import fits, fits_from_empty
+from ridgesill.core.fleet.engine_capacity import fits, fits_from_empty
 from ridgesill.core.serving.routes import EngineSpec, Model
 
 # One model or both, and two adapters beside the first or one beside both.
--- a/testing/core/fleet/test_lateness.py
+++ b/testing/core/fleet/test_lateness.py
@@ -6,7 +6,7 @@
 from ridgesill.core.fleet.engines import Engine
 from ridgesill.core.fleet.lateness import count_late, share_late
 from ridgesill.core.fleet.messages import WantArtifact
-from ridgesill.core.fleet.wants import Waiter, Waiting
+from ridgesill.core.fleet.wants import ArtifactWaiters, Waiter
 from ridgesill.core.serving.routes import EngineSpec, Model
 
 
@@ -16,10 +16,10 @@
     return Engine(name, "10.0.0.1:80", "dc", EngineSpec(8, 9.0, 4, 1.0, models))
 
 
-def make_waiting(*tokens: int, goal_at: float = 0.8) -> Waiting:
+def make_waiting(*tokens: int, goal_at: float = 0.8) -> ArtifactWaiters:
     """Returns prompts that wait for one adapter."""
     waiters = [Waiter(goal_at, 0.3, f"r{n}", t) for n, t in enumerate(tokens)]
-    return Waiting(WantArtifact("s", "m/a", 0), 0.0, waiters)
+    return ArtifactWaiters(WantArtifact("s", "m/a", 0), 0.0, waiters)
 
 
 class TestShareLate:
@@ -58,6 +58,6 @@
         backlogs.begin("e1", "other", 9000, 3, 0.0)
         engine = make_engine()
         before = count_late(make_waiting(9000), engine, backlogs, 0.0)
-        engine.note_left("m/a", 0.0)
+        engine.record_unloaded("m/a", 0.0)
         late = count_late(make_waiting(4000), engine, backlogs, 0.0)
         assert late < before
--- a/testing/core/fleet/test_reading_time.py
+++ b/testing/core/fleet/test_reading_time.py
@@ -15,7 +15,7 @@
     for _ in range(rounds):
         for engine, pace in paces.items():
             for tokens in _SIZES:
-                times.note(engine, tokens, law(tokens) * pace)
+                times.record(engine, tokens, law(tokens) * pace)
 
 
 def law(tokens: int) -> float:
@@ -40,7 +40,7 @@
     def test_parts_that_were_kept_spoil_little(self) -> None:
         times = ReadingTimes()
         teach(times, {"e1": 1.0}, 10)
-        times.note("e1", 20_000, 0.001)
+        times.record("e1", 20_000, 0.001)
         assert times.seconds("e1", 20_000) == pytest.approx(
             law(20_000), rel=0.15
         )
@@ -49,5 +49,5 @@
     def test_what_took_no_time_says_nothing(self, seconds: float) -> None:
         times = ReadingTimes()
         before = times.seconds("e1", 9000)
-        times.note("e1", 9000, seconds)
+        times.record("e1", 9000, seconds)
         assert times.seconds("e1", 9000) == before
--- a/testing/core/fleet/test_sent_orders.py
+++ b/testing/core/fleet/test_sent_orders.py
@@ -3,13 +3,13 @@
 import attrs
 import pytest
 
-from ridgesill.core.fleet.engines import Engine, Pending, UnansweredLoad
+from ridgesill.core.fleet.engines import Engine, PendingLoad, UnansweredLoad
 from ridgesill.core.fleet.orders import Action, EngineReport, FleetOrder
 from ridgesill.core.fleet.sent_orders import (
     UNANSWERED_SECONDS,
     SentOrder,
     SentOrders,
-    find_chain,
+    find_load_chain,
 )
 from ridgesill.core.serving.routes import EngineSpec, Model
 
@@ -33,29 +33,31 @@
 class TestSentOrders:
     def test_one_without_an_answer_may_run_on_a_later_start(self) -> None:
         sent = SentOrders()
-        sent.note("i", 1, order("base/a1", 5), 10.0)
-        assert sent.strays("i", 1, 11.0) == []
-        assert [s.artifact for s in sent.strays("i", 2, 11.0)] == ["base/a1"]
-        assert sent.strays("j", 2, 11.0) == []
+        sent.record("i", 1, order("base/a1", 5), 10.0)
+        assert sent.late_orders("i", 1, 11.0) == []
+        assert [s.artifact for s in sent.late_orders("i", 2, 11.0)] == [
+            "base/a1"
+        ]
+        assert sent.late_orders("j", 2, 11.0) == []
 
     def test_one_that_was_answered_will_not(self) -> None:
         sent = SentOrders()
-        sent.settle("i", sent.note("i", 1, order("base/a1", 5), 10.0))
-        assert sent.strays("i", 2, 11.0) == []
+        sent.discard("i", sent.record("i", 1, order("base/a1", 5), 10.0))
+        assert sent.late_orders("i", 2, 11.0) == []
 
     def test_it_is_forgotten_once_it_cannot_be_carried_out(self) -> None:
         sent = SentOrders()
-        sent.note("i", 1, order("base/a1", 5), 10.0)
+        sent.record("i", 1, order("base/a1", 5), 10.0)
         after = 10.0 + UNANSWERED_SECONDS
-        assert sent.strays("i", 2, after) == []
-        sent.forget_past(after)
+        assert sent.late_orders("i", 2, after) == []
+        sent.prune_expired(after)
         assert sent._sent == {}
 
     def test_what_is_remembered_is_bounded(self) -> None:
         sent = SentOrders()
         for number in range(5000):
-            sent.note("i", 1, order("base/a1", number), 10.0)
-        assert len(sent.strays("i", 2, 11.0)) <= 1024
+            sent.record("i", 1, order("base/a1", number), 10.0)
+        assert len(sent.late_orders("i", 2, 11.0)) <= 1024
 
 
 class TestChains:
@@ -78,16 +80,20 @@
     def test_what_may_run_one_after_another(
         self, strays: list[SentOrder], chain: list[set[str]]
     ) -> None:
-        assert find_chain(strays, 4, 10.0) == chain
+        assert find_load_chain(strays, 4, 10.0) == chain
 
     def test_an_order_to_be_sent_may_close_a_gap_in_it(self) -> None:
         sent = SentOrders()
-        sent.note("i", 1, order("a", 0), 10.0)
-        sent.note("i", 1, order("c", 2), 10.0)
+        sent.record("i", 1, order("a", 0), 10.0)
+        sent.record("i", 1, order("c", 2), 10.0)
         unload = attrs.evolve(order("b", 1), action=Action.UNLOAD)
-        assert sent.chain_with("i", unload, 11.0) == [{"a"}, set(), {"c"}]
+        assert sent.possible_loads_after("i", unload, 11.0) == [
+            {"a"},
+            set(),
+            {"c"},
+        ]
         after = 10.0 + UNANSWERED_SECONDS
-        assert sent.chain_with("i", unload, after) == []
+        assert sent.possible_loads_after("i", unload, after) == []
 
 
 class TestOrdersBesideStrays:
@@ -95,24 +101,24 @@
     def engine(self) -> Engine:
         """Returns an engine with one of two places taken, at count 3."""
         made = Engine("i-1", "10.0.0.1:80", "a", SPEC, revision=3)
-        made.adopt({MODEL: 1, "base/a1": 1})
+        made.apply_resident({MODEL: 1, "base/a1": 1})
         return made
 
     def test_a_load_that_leaves_no_place_for_a_stray_waits(
         self, engine: Engine
     ) -> None:
-        assert engine.may_order(Action.LOAD, "base/a2", 3, 10.0)
-        engine.strays = [stray(4, "base/a9")]
-        assert not engine.may_order(Action.LOAD, "base/a2", 3, 10.0)
-        assert engine.may_order(Action.LOAD, "base/a2", 3, 100.0)
+        assert engine.is_order_safe(Action.LOAD, "base/a2", 3, 10.0)
+        engine.late_orders = [stray(4, "base/a9")]
+        assert not engine.is_order_safe(Action.LOAD, "base/a2", 3, 10.0)
+        assert engine.is_order_safe(Action.LOAD, "base/a2", 3, 100.0)
 
     def test_an_unload_that_may_wait_for_its_runs_keeps_its_place(
         self, engine: Engine
     ) -> None:
-        engine.adopt({"base/a2": 1})
-        assert engine.may_order(Action.UNLOAD, "base/a2", 3, 10.0)
-        engine.strays = [stray(4, "base/a9")]
-        assert not engine.may_order(Action.UNLOAD, "base/a2", 3, 10.0)
+        engine.apply_resident({"base/a2": 1})
+        assert engine.is_order_safe(Action.UNLOAD, "base/a2", 3, 10.0)
+        engine.late_orders = [stray(4, "base/a9")]
+        assert not engine.is_order_safe(Action.UNLOAD, "base/a2", 3, 10.0)
 
 
 class TestWhatAnEngineMayHold:
@@ -120,33 +126,36 @@
     def engine(self) -> Engine:
         """Returns an engine that holds its base model alone."""
         made = Engine("i-1", "10.0.0.1:80", "a", SPEC, revision=3)
-        made.adopt({MODEL: 1})
+        made.apply_resident({MODEL: 1})
         return made
 
     def test_a_load_without_an_answer_counts_in_megabytes(
         self, engine: Engine
     ) -> None:
         engine.unanswered["base/a2"] = UnansweredLoad(113.0, 3)
-        assert engine.weights_taken() == 1010.0
+        assert engine.used_weights_mb() == 1010.0
 
     def test_heartbeats_take_nothing_from_it_before_a_report_does(
         self, engine: Engine
     ) -> None:
         # Heartbeats may be seconds old and name no count of orders.
-        engine.adopt({"base/a1": 1, "base/a2": 1})
+        engine.apply_resident({"base/a1": 1, "base/a2": 1})
         for at in (201.0, 202.0, 203.0):
             engine.reconcile({MODEL: 1, "base/a1": 1}, at)
         assert "base/a2" not in engine.held
-        assert not engine.may_order(Action.LOAD, "base/a3", 3, 203.0)
-        assert engine.must_ask(203.0)
+        assert not engine.is_order_safe(Action.LOAD, "base/a3", 3, 203.0)
+        assert engine.needs_report(203.0)
         held = {MODEL: 1, "base/a1": 1}
-        engine.take_report(EngineReport(3, False, held, {}), 203.5)
-        assert engine.may_order(Action.LOAD, "base/a3", 3, 203.5)
+        engine.apply_report(EngineReport(3, False, held, {}), 203.5)
+        assert engine.is_order_safe(Action.LOAD, "base/a3", 3, 203.5)
 
     def test_a_load_that_has_not_left_keeps_no_other_from_leaving(
         self, engine: Engine
     ) -> None:
-        engine.loading = {"base/a1": Pending(), "base/a2": Pending(taken=True)}
-        assert engine.may_order(Action.LOAD, "base/a1", 3, 10.0)
-        engine.loading["base/a1"].taken = True
-        assert not engine.may_order(Action.LOAD, "base/a3", 3, 10.0)
+        engine.loading = {
+            "base/a1": PendingLoad(),
+            "base/a2": PendingLoad(accepted=True),
+        }
+        assert engine.is_order_safe(Action.LOAD, "base/a1", 3, 10.0)
+        engine.loading["base/a1"].accepted = True
+        assert not engine.is_order_safe(Action.LOAD, "base/a3", 3, 10.0)
--- a/testing/core/fleet/test_wants.py
+++ b/testing/core/fleet/test_wants.py
@@ -1,16 +1,16 @@
 """Tests of which wants get a place first."""
 
 from ridgesill.core.fleet.messages import WantArtifact
-from ridgesill.core.fleet.wants import Waiter, Waiting, WantQueue
+from ridgesill.core.fleet.wants import ArtifactWaiters, Waiter, WantQueue
 
 
-def waiting(adapter: str, asked_at: float, *goals: float) -> Waiting:
+def waiting(adapter: str, asked_at: float, *goals: float) -> ArtifactWaiters:
     """Returns a want with a request for each goal."""
     want = WantArtifact("s", f"base/{adapter}", 0)
-    return Waiting(want, asked_at, [Waiter(goal) for goal in goals])
+    return ArtifactWaiters(want, asked_at, [Waiter(goal) for goal in goals])
 
 
-def order(*wants: Waiting, now: float) -> list[str]:
+def order(*wants: ArtifactWaiters, now: float) -> list[str]:
     """Returns the adapters in the order in which they get a place."""
     queue = WantQueue()
     for want in wants:
@@ -48,14 +48,14 @@
         # Answers of 300 tokens held most places, and long prompts with short
         # answers waited behind them.
         drafts = [
-            Waiting(
+            ArtifactWaiters(
                 WantArtifact("s", f"base/d{n}", 0, answer_tokens=300),
                 0.0,
                 [Waiter(0.6)],
             )
             for n in range(3)
         ]
-        digest = Waiting(
+        digest = ArtifactWaiters(
             WantArtifact("s", "base/digest", 0, answer_tokens=50),
             0.1,
             [Waiter(0.9, 0.3)],
@@ -63,5 +63,5 @@
         assert order(*drafts, digest, now=0.1)[0] == "digest"
 
     def test_a_long_prompt_is_late_sooner(self) -> None:
-        assert Waiter(0.6, 0.03).can_be_in_time(0.2)
-        assert not Waiter(0.6, 0.3).can_be_in_time(0.2)
+        assert Waiter(0.6, 0.03).can_meet_goal(0.2)
+        assert not Waiter(0.6, 0.3).can_meet_goal(0.2)
--- a/testing/explorer/mutants.py
+++ b/testing/explorer/mutants.py
@@ -12,9 +12,9 @@
 from ridgesill.app.fleet_engines import FleetEngines
 from ridgesill.app.fleet_upkeep import FleetUpkeep
 from ridgesill.core.fleet import engines
+from ridgesill.core.fleet.engine_capacity import count_adapters
 from ridgesill.core.fleet.engines import Engine
 from ridgesill.core.fleet.registry import Registry
-from ridgesill.core.fleet.room import count_places
 from ridgesill.platform import upstreams
 
 
@@ -29,15 +29,15 @@
         return await send_once(self, named, engine, again)
 
     def forget(self: Any, engine: Any, now: float) -> bool:
-        if engine.must_ask(now):
+        if engine.needs_report(now):
             engine.revision = None
         return is_known(self, engine, now)
 
     def may_order(self: Any, action: Any, artifact: str, *_: Any) -> bool:
         return real_may_order(self, action, artifact, -9, 0.0)
 
-    real_may_order = Engine.may_order
-    real_note = EngineOrders._note
+    real_may_order = Engine.is_order_safe
+    real_note = EngineOrders._apply_verdict
 
     def note(self: Any, engine: Any, wanted: Any, verdict: Any) -> None:
         # A count that was forgotten meanwhile isn't moved.
@@ -47,9 +47,9 @@
 
     with (
         mock.patch.object(EngineOrders, "_send_once", send),
-        mock.patch.object(EngineOrders, "_note", note),
+        mock.patch.object(EngineOrders, "_apply_verdict", note),
         mock.patch.object(FleetUpkeep, "_is_known", forget),
-        mock.patch.object(Engine, "may_order", may_order),
+        mock.patch.object(Engine, "is_order_safe", may_order),
     ):
         yield
 
@@ -57,34 +57,36 @@
 @contextlib.contextmanager
 def _no_look_before_it_leaves() -> Iterator[None]:
     """What a report told since the choice doesn't keep an order back."""
-    with mock.patch.object(Engine, "may_order", lambda *_: True):
+    with mock.patch.object(Engine, "is_order_safe", lambda *_: True):
         yield
 
 
 @contextlib.contextmanager
 def _forget_the_unanswered() -> Iterator[None]:
     """Loads without an answer take no place."""
-    real = Engine.may_hold
+    real = Engine.possible_artifacts
 
-    def may_hold(self: Any) -> set[str]:
+    def possible_artifacts(self: Any) -> set[str]:
         self.unanswered.clear()
         return real(self)
 
-    with mock.patch.object(Engine, "may_hold", may_hold):
+    with mock.patch.object(Engine, "possible_artifacts", possible_artifacts):
         yield
 
 
 @contextlib.contextmanager
 def _no_strays() -> Iterator[None]:
     """What earlier starts were ordered isn't reckoned with."""
-    with mock.patch.object(engines, "find_chain", lambda *_: []):
+    with mock.patch.object(engines, "find_load_chain", lambda *_: []):
         yield
 
 
 @contextlib.contextmanager
 def _no_thought_of_a_next_start() -> Iterator[None]:
     """What a next start may carry out by itself isn't reckoned with."""
-    with mock.patch.object(EngineOrders, "_may_run_late", lambda *_: True):
+    with mock.patch.object(
+        EngineOrders, "_is_safe_after_restart", lambda *_: True
+    ):
         yield
 
 
@@ -123,7 +125,7 @@
 
     def reconcile(self: Any, resident: Any, now: float) -> Any:
         said = real(self, resident, now)
-        self.unsure.clear()
+        self.unconfirmed.clear()
         return said
 
     with mock.patch.object(Engine, "reconcile", reconcile):
@@ -133,7 +135,7 @@
 @contextlib.contextmanager
 def _no_wait_for_a_report() -> Iterator[None]:
     """A report is asked for at once after a refusal or by a new owner."""
-    with mock.patch.object(engine_orders, "_REPORT_LAG", 0.0):
+    with mock.patch.object(engine_orders, "_REPORT_LAG_SECONDS", 0.0):
         yield
 
 
@@ -149,7 +151,7 @@
 @contextlib.contextmanager
 def _busy_reports_believed() -> Iterator[None]:
     """A report made while a base model loads tells all that is there."""
-    with mock.patch.object(Engine, "_knows_why_busy", lambda _: True):
+    with mock.patch.object(Engine, "_is_busy_explained", lambda _: True):
         yield
 
 
@@ -158,7 +160,7 @@
     """Engines are chosen by free places, however few megabytes are left."""
 
     def fits(spec: Any, artifacts: Any) -> bool:
-        return count_places(artifacts) <= spec.adapter_slots
+        return count_adapters(artifacts) <= spec.adapter_slots
 
     with mock.patch.object(engines, "fits", fits):
         yield
--- a/testing/explorer/weighed.py
+++ b/testing/explorer/weighed.py
@@ -66,7 +66,7 @@
             return 202
         if model in self.models:
             return 200
-        if self.loading_model or self.waits_for:
+        if self.loading_model or self.blocking_artifact:
             return _CONFLICT
         self.taken += 1
         self.loading_model = model
@@ -99,7 +99,7 @@
         """Returns what it would say of itself without delay."""
         return {
             "sequence": self.taken,
-            "busy_slots": bool(self.waits_for or self.loading_model),
+            "busy_slots": bool(self.blocking_artifact or self.loading_model),
             "models": self.list_models(),
             "incoming": [f"{artifact}@1" for artifact in self.incoming],
         }
--- a/testing/explorer/world.py
+++ b/testing/explorer/world.py
@@ -428,10 +428,10 @@
                 found.append(f"{engine.name} isn't known")
                 continue
             truth = engine.artifacts()
-            if books.may_hold() != truth:
+            if books.possible_artifacts() != truth:
                 found.append(
                     f"{engine.name} holds {sorted(truth)},"
-                    f" believed {sorted(books.may_hold())}"
+                    f" believed {sorted(books.possible_artifacts())}"
                 )
         return found
 
--- a/testing/standin/experiment/test_runs.py
+++ b/testing/standin/experiment/test_runs.py
@@ -111,7 +111,7 @@
             popularity=Popularity(adapters=8, exponent=1.2, share=1.0),
         )
         kept = play_worth(hot, seed)
-        off = play_worth(hot, seed, {"core.fleet.sooner._COPY_GAIN": 9.0})
+        off = play_worth(hot, seed, {"core.fleet.copy_benefit._COPY_GAIN": 9.0})
         assert kept > off + 0.05
 
     @pytest.mark.parametrize("name", ["load", "losses"])
--- a/testing/world.py
+++ b/testing/world.py
@@ -226,7 +226,7 @@
             place.capacity,
             tuple(sorted(engine.resident)),
             engine.active,
-            engine.leaving,
+            engine.unloading,
             sequence,
         )
 
