--- a/bench/limits.py
+++ b/bench/limits.py
@@ -12,7 +12,7 @@
 
 from bench.quotas import Reporting
 from ridgesill.core.serving.customers import Quota
-from ridgesill.core.serving.rates import FrontRates, OwnPart, RateState
+from ridgesill.core.serving.rates import FrontRates, LocalBucket, RateState
 from ridgesill.standin.emulator.quotas import (
     FrontPart,
     QuotaEmulation,
@@ -35,9 +35,9 @@
     def __init__(self, number: int) -> None:
         super().__init__()
         self._number = number
-        self._part = OwnPart(0.0, 0.0)
+        self._part = LocalBucket(0.0, 0.0)
 
-    def take_news(
+    def apply_news(
         self, states: Mapping[str, RateState], fronts: int, told_at: float
     ) -> None:
         """Takes nothing: who is first is known."""
@@ -45,7 +45,7 @@
     def admit(self, name: str, quota: Quota, cost: int, now: float) -> bool:
         """Returns whether this front is among the few and has some left."""
         few = max(int(quota.rate), 1)
-        passed = self._number < few and self._part.take(
+        passed = self._number < few and self._part.acquire(
             cost, quota.rate / few, 1.0, now
         )
         return self.note(name, cost, passed, now)
@@ -54,12 +54,12 @@
 class Permits(Reporting):
     """The owner is asked for each request that could go there."""
 
-    def __init__(self, bucket: OwnPart) -> None:
+    def __init__(self, bucket: LocalBucket) -> None:
         super().__init__()
         self._bucket = bucket
         self.asked = 0
 
-    def take_news(
+    def apply_news(
         self, states: Mapping[str, RateState], fronts: int, told_at: float
     ) -> None:
         """Takes nothing: the owner answers each question."""
@@ -67,15 +67,15 @@
     def admit(self, name: str, quota: Quota, cost: int, now: float) -> bool:
         """Returns what the owner answers."""
         self.asked += 1
-        passed = self._bucket.take(cost, quota.rate, quota.burst, now)
+        passed = self._bucket.acquire(cost, quota.rate, quota.burst, now)
         return self.note(name, cost, passed, now)
 
 
 def _make_ways() -> dict[str, Callable[[random.Random], FrontPart]]:
     numbers = iter(range(10_000))
-    bucket = OwnPart(0.0, 0.0)
+    bucket = LocalBucket(0.0, 0.0)
     return {
-        "share of offers": lambda rng: FrontRates(rng, by_parts=True),
+        "share of offers": lambda rng: FrontRates(rng, local_by_default=True),
         "few fronts": lambda _rng: FewFronts(next(numbers)),
         "permits": lambda _rng: Permits(bucket),
     }
--- a/bench/quotas.py
+++ b/bench/quotas.py
@@ -11,7 +11,7 @@
 from ridgesill.core.serving.customers import Quota
 from ridgesill.core.serving.rates import (
     FrontRates,
-    OwnPart,
+    LocalBucket,
     RateState,
     RateUse,
     add_uses,
@@ -38,7 +38,7 @@
         self.states: Mapping[str, RateState] = {}
         self.fronts = 1
 
-    def take_uses(self) -> dict[str, RateUse]:
+    def collect_uses(self) -> dict[str, RateUse]:
         """Returns what there is to report."""
         uses, self.uses = self.uses, {}
         self.used_since = float("inf")
@@ -57,9 +57,9 @@
 
     def __init__(self, _rng: random.Random) -> None:
         super().__init__()
-        self._part = OwnPart(float("inf"), 0.0)
+        self._part = LocalBucket(float("inf"), 0.0)
 
-    def take_news(
+    def apply_news(
         self, states: Mapping[str, RateState], fronts: int, told_at: float
     ) -> None:
         """Takes how many fronts there are."""
@@ -68,7 +68,7 @@
     def admit(self, name: str, quota: Quota, cost: int, now: float) -> bool:
         """Returns whether its own part lasts for a request."""
         rate, most = quota.rate / self.fronts, quota.burst / self.fronts
-        passed = self._part.take(cost, rate, most, now)
+        passed = self._part.acquire(cost, rate, most, now)
         return self.note(name, cost, passed, now)
 
 
@@ -79,7 +79,7 @@
         super().__init__()
         self._since = 0
 
-    def take_news(
+    def apply_news(
         self, states: Mapping[str, RateState], fronts: int, told_at: float
     ) -> None:
         """Takes what is left."""
--- a/src/ridgesill/app/administration.py
+++ b/src/ridgesill/app/administration.py
@@ -147,10 +147,10 @@
             RunnerReport(
                 runner.name,
                 owner.service,
-                runner.said.data_centre,
+                runner.announcement.data_centre,
                 tuple(sorted(a for a in runner.slots if a)),
                 runner.in_flight,
-                runner.said.leaving,
+                runner.announcement.leaving,
             )
             for owner in self._pools.owners
             for runner in owner.runners.values()
--- a/src/ridgesill/app/entry.py
+++ b/src/ridgesill/app/entry.py
@@ -87,7 +87,7 @@
 
     def note_digest(self, digest: Digest) -> None:
         """Takes an owner's hints."""
-        self.hints.setdefault(digest.pool, PoolHints()).take(digest)
+        self.hints.setdefault(digest.pool, PoolHints()).apply_digest(digest)
 
     def check(self, call: Call) -> Result[Target, Refusal]:
         """Checks a call against the configuration in force."""
--- a/src/ridgesill/app/forwarding.py
+++ b/src/ridgesill/app/forwarding.py
@@ -172,7 +172,7 @@
             self._refuse(_QUARANTINED)
             return
         if self._is_beyond_quota():
-            after = self._front.quotas.comes_back_after()
+            after = self._front.quotas.retry_after_seconds()
             self._refuse(Refusal("beyond_quota", after, 429))
             return
         self._deadline = min(self._deadline, self._front.stops_at)
@@ -246,7 +246,7 @@
             request=self._facts.request,
             customer=customer.name,
             cost=cost,
-            **quotas.describe(customer.name, now),
+            **quotas.describe_decision(customer.name, now),
         )
         return True
 
@@ -256,7 +256,7 @@
             cost = customer.quota.cost(self._tokens())
             use = RateUse(cost, cost)
             now = self._loop.time()
-            self._front.quotas.give_back(customer.name, use, now)
+            self._front.quotas.refund(customer.name, use, now)
 
     def _tokens(self) -> int:
         """Returns the tokens that count towards a limit."""
@@ -290,7 +290,7 @@
                 self._priority(),
             )
         )
-        self._front.retries(self._service).note_request(self._loop.time())
+        self._front.retries(self._service).record_request(self._loop.time())
         if self._facts.artifact:
             self._front.note_used(self._facts.artifact)
         if route.kind == STREAM and route.resumable:
@@ -337,10 +337,10 @@
         """Returns None once the answer is delivered."""
         chooser = self._front.chooser
         artifact = self._facts.artifact
-        chooser.begin(upstream.name, artifact)
+        chooser.record_start(upstream.name, artifact)
         self._sent_at = self._loop.time()
-        self._search.draws.note_sent(upstream.name, self._sent_at)
-        chooser.outcomes.note_sent(upstream.name, self._sent_at)
+        self._search.draws.record_sent(upstream.name, self._sent_at)
+        chooser.outcomes.record_sent(upstream.name, self._sent_at)
         self._asked = upstream.name
         exchange: Exchange | None = None
         failure: Failure | None = None
@@ -349,7 +349,7 @@
             self._tried.append(upstream.name)
             head = await exchange.read_head()
             rests = self._take_word(upstream, head)
-            chooser.outcomes.note_heard(upstream.name, self._loop.time())
+            chooser.outcomes.record_byte(upstream.name, self._loop.time())
             failure = await self._take(route, upstream, exchange, head)
             if failure is not None and rests:
                 failure = attrs.evolve(failure, rests=True)
@@ -368,15 +368,15 @@
             )
         finally:
             self._tell_reading_ended(failure)
-            chooser.end(upstream.name, artifact)
-            chooser.outcomes.note_ended(upstream.name)
+            chooser.record_end(upstream.name, artifact)
+            chooser.outcomes.record_end(upstream.name)
             if exchange is not None:
                 exchange.cancel()
         return failure
 
     def _note_not_sent(self, upstream: Upstream) -> None:
         now = self._loop.time()
-        self._search.draws.note_not_sent(upstream.name, now)
+        self._search.draws.revert_sent(upstream.name, now)
 
     def _take_word(self, upstream: Upstream, head: ResponseHead) -> bool:
         """Notes what an upstream says of itself beside its answer.
@@ -492,19 +492,19 @@
             )
         splitter = self._splitter
         if splitter is not None:
-            splitter.drop_rest()
+            splitter.discard_partial()
         outcomes = self._front.chooser.outcomes
         while data := await exchange.read_data():
-            outcomes.note_heard(upstream.name, self._loop.time())
+            outcomes.record_byte(upstream.name, self._loop.time())
             if splitter is not None:
-                data = splitter.take(data)
+                data = splitter.feed(data)
             if data:
                 self._search.note_reading_ended(was_read=True)
                 self._note_first()
                 responder.send_data(data)
                 await responder.drain()
-        if splitter is not None and splitter.rest:
-            responder.send_data(splitter.rest)
+        if splitter is not None and splitter.partial:
+            responder.send_data(splitter.partial)
         responder.finish()
 
     def _note_first(self) -> None:
@@ -513,9 +513,9 @@
             return
         now = self._first_at = self._loop.time()
         took = now - self._sent_at
-        self._front.admission(self._service).note_first(took, now)
+        self._front.admission(self._service).record_first_event(took, now)
         tokens = self._facts.prompt_tokens
-        self._front.reading(self._service).note(tokens, took)
+        self._front.reading(self._service).record(tokens, took)
 
     def _deliver(self, head: ResponseHead, body: bytes) -> None:
         responder = self._responder
@@ -534,7 +534,7 @@
 
     def _note_served(self, upstream: Upstream, head: ResponseHead) -> None:
         now = self._loop.time()
-        self._front.chooser.outcomes.note_success(upstream.name, now)
+        self._front.chooser.outcomes.record_success(upstream.name, now)
         if not head.tells_its_end:
             # It may be the end of the upstream that looks like the answer's.
             self._suspect.note_cut(upstream)
@@ -548,7 +548,7 @@
         now = self._loop.time()
         ejected = False
         if failure.tells_of_health:
-            ejected = self._front.chooser.outcomes.note_failure(
+            ejected = self._front.chooser.outcomes.record_failure(
                 upstream.name, now, unreachable=not failure.arrived
             )
         log_message(
@@ -578,7 +578,7 @@
             return False
         now = self._loop.time()
         fronts = self._front.fleet.view.fronts
-        return self._front.retries(self._service).take(now, fronts)
+        return self._front.retries(self._service).acquire(now, fronts)
 
     # -- ends ----------------------------------------------------------
 
@@ -608,7 +608,7 @@
     def _time_out(self) -> None:
         if self._asked and not self._first_at:
             now = self._loop.time()
-            self._front.chooser.outcomes.note_failure(self._asked, now)
+            self._front.chooser.outcomes.record_failure(self._asked, now)
         if self._responder.started:
             self._responder.abort()
             self._end("cut", reason="timeout")
--- a/src/ridgesill/app/front.py
+++ b/src/ridgesill/app/front.py
@@ -11,11 +11,11 @@
 from ridgesill.core.fleet.use_reports import Sent
 from ridgesill.core.freshness import Freshness
 from ridgesill.core.serving.admission import Admission
-from ridgesill.core.serving.callers import Knowledge
+from ridgesill.core.serving.callers import ConfigurationFreshness
 from ridgesill.core.serving.choice import Chooser
 from ridgesill.core.serving.front_limits import FrontLimits
 from ridgesill.core.serving.rates import FrontRates
-from ridgesill.core.serving.reading import ReadingRate
+from ridgesill.core.serving.reading import PrefillRate
 from ridgesill.core.serving.retries import RetryBounds, ServiceRetries
 from ridgesill.core.serving.routes import RouteTable
 from ridgesill.ports.dialect import Dialect
@@ -73,11 +73,13 @@
         self._revocation = revocation
         self._retries: dict[str, ServiceRetries] = {}
         self._admissions: dict[str, Admission] = {}
-        self._readings: dict[str, ReadingRate] = {}
+        self._readings: dict[str, PrefillRate] = {}
 
-    def knowledge(self, now: float) -> Knowledge:
+    def knowledge(self, now: float) -> ConfigurationFreshness:
         """Returns how sure this front is of its configuration."""
-        return Knowledge(self._freshness.age(now), self._revocation)
+        return ConfigurationFreshness(
+            self._freshness.age(now), self._revocation
+        )
 
     def retries(self, service: str) -> ServiceRetries:
         """Returns the retry budget of a service."""
@@ -90,15 +92,15 @@
         """Returns the measure of how long a service's engines take."""
         return self._admissions.setdefault(service, Admission())
 
-    def reading(self, service: str) -> ReadingRate:
+    def reading(self, service: str) -> PrefillRate:
         """Returns the measure of how fast a service's engines read."""
-        return self._readings.setdefault(service, ReadingRate())
+        return self._readings.setdefault(service, PrefillRate())
 
     def take_sent(self) -> Sent:
         """Returns what was sent under rates since the last call."""
         since = min(self.quotas.used_since, self.limits.rates.used_since)
-        uses = self.quotas.take_uses()
-        return Sent(uses, self.limits.rates.take_uses(), since)
+        uses = self.quotas.collect_uses()
+        return Sent(uses, self.limits.rates.collect_uses(), since)
 
     def note_used(self, artifact: str) -> None:
         """Counts a request for an artifact, to be told the owner."""
--- a/src/ridgesill/app/front_process.py
+++ b/src/ridgesill/app/front_process.py
@@ -103,24 +103,26 @@
         self._readiness = HttpListener(settings.readiness, self._tell_ready)
 
     def _note_news(self) -> None:
-        self.front.chooser.note_news(self._loop.time())
+        self.front.chooser.update_means(self._loop.time())
         view = self.fleet.view
         if view.knows_uses:
-            self.front.quotas.take_news(view.quotas, view.fronts, view.known_at)
+            self.front.quotas.apply_news(
+                view.quotas, view.fronts, view.known_at
+            )
         else:
-            self.front.quotas.note_fronts(view.fronts)
-        self.front.limits.take_news(view)
+            self.front.quotas.update_front_count(view.fronts)
+        self.front.limits.apply_news(view)
 
     def _usage(self) -> UsageReport:
         chooser = self.front.chooser
         now = self._loop.time()
-        resting = chooser.unavailable.resting(now)
+        resting = chooser.unavailable.list_resting(now)
         return UsageReport(
             self.front.take_used(),
-            chooser.tell_busy(),
+            chooser.report_busy(),
             resting=dict.fromkeys(resting, 1),
             sent=self.front.take_sent(),
-            limits=self.front.limits.untold(self.fleet.view, now),
+            limits=self.front.limits.list_unreported(self.fleet.view, now),
         )
 
     def _relay_address(self) -> str:
@@ -222,10 +224,10 @@
             await asyncio.sleep(_SWEEP_SECONDS)
             self.front.channels.sweep()
             known = set(self.fleet.view.upstreams)
-            self.front.chooser.outcomes.keep_only(known)
+            self.front.chooser.outcomes.discard_except(known)
             now = self._loop.time()
-            self.front.chooser.unavailable.keep_only(known, now)
-            self.front.limits.keep_only(known, now)
+            self.front.chooser.unavailable.discard_except(known, now)
+            self.front.limits.discard_except(known, now)
             self.front.words.remind(self.fleet.view.upstreams.values())
 
     def _swap_telemetry(self, telemetry: Telemetry) -> Telemetry:
--- a/src/ridgesill/app/named_limits.py
+++ b/src/ridgesill/app/named_limits.py
@@ -94,7 +94,7 @@
         """Forgets limits that are over; called a few times a second."""
         self._ledger.note_fronts(fronts, now)
         if self._known:
-            self._known.keep_only(upstreams, now)
+            self._known.discard_except(upstreams, now)
             self._set_quotas(now)
 
     def _set_quotas(self, now: float) -> None:
@@ -111,7 +111,7 @@
 
     def tell(self, now: float) -> dict[str, NamedLimit]:
         """Returns the limits, to be told fronts."""
-        return self._known.tell(now)
+        return self._known.report(now)
 
     def states(self, now: float) -> dict[str, RateState]:
         """Returns what may be sent of them, to be told fronts."""
@@ -134,6 +134,6 @@
                 uses[upstream].level,
                 uses[upstream].refused,
             )
-            for upstream, limit in self._known.tell(now).items()
+            for upstream, limit in self._known.report(now).items()
             if upstream in uses
         ]
--- a/src/ridgesill/app/news_relay.py
+++ b/src/ridgesill/app/news_relay.py
@@ -81,7 +81,7 @@
 
     def _take(self, news: FleetNews) -> None:
         self._news.take(news)
-        self._limits.keep_only(self._view.upstreams, self._loop.time())
+        self._limits.discard_except(self._view.upstreams, self._loop.time())
         self._changed.note()
 
     def report(self) -> UsageReport:
@@ -90,7 +90,7 @@
         self._usage.forget_silent(now)
         self._taken.forget_silent(now)
         used, self._used = self._used, {}
-        return self._usage.sum_up(used, self._limits.tell(now), now)
+        return self._usage.sum_up(used, self._limits.report(now), now)
 
     async def answer(self, sender: str, question: WatchFleet) -> FleetNews:
         """Answers a front; epoch 0 says that it should ask the owner."""
--- a/src/ridgesill/app/node.py
+++ b/src/ridgesill/app/node.py
@@ -307,8 +307,8 @@
     async def _hand_over(self) -> None:
         """Releases this node's pools, so that the next owner need not wait."""
         for owner in self.pools.owners:
-            owner.stop_orders()
-            owner.drain()
+            owner.cancel_unordered_loads()
+            owner.refuse_waiting()
         releases = [
             ReleasePool(pool, owner.epoch)
             for pool, owner in self.control.state.owners.items()
--- a/src/ridgesill/app/pools.py
+++ b/src/ridgesill/app/pools.py
@@ -27,7 +27,7 @@
     ToAllocator,
 )
 from ridgesill.core.pool.owner import PoolOwner
-from ridgesill.core.pool.permits import Allocator
+from ridgesill.core.pool.permits import PermitAllocator
 from ridgesill.core.runners import LOAD, Announcement, Order
 from ridgesill.core.state import Owner
 from ridgesill.ports.orders import FAILED, Orders
@@ -82,7 +82,7 @@
         self._lease = lease
         self._limits = limits or PoolLimits()
         self._hosted: dict[str, _Hosted] = {}
-        self._allocators: dict[str, Allocator] = {}
+        self._allocators: dict[str, PermitAllocator] = {}
         self._heard: dict[str, float] = {}
         self._announced: dict[str, Announcement] = {}
         self._loop = asyncio.get_running_loop()
@@ -136,7 +136,7 @@
     def _begin_allocator(self, pool: str, service: Service) -> None:
         known = self._allocators.get(pool)
         if known is None:
-            self._allocators[pool] = Allocator(
+            self._allocators[pool] = PermitAllocator(
                 service.load_rate, service.load_concurrency, self._loop.time()
             )
         else:
@@ -175,7 +175,7 @@
         nodes = self._view.state().nodes.values()
         alive = {node.identity for node in nodes}
         for node in owner.entry_nodes() - alive:
-            owner.lose_node(node)
+            owner.handle_lost_node(node)
 
     # -- messages ------------------------------------------------------
 
@@ -239,14 +239,14 @@
     async def _(self, message: AskPermit) -> None:
         allocator = self._allocators.get(store_name(message.service))
         if allocator is not None:
-            allocator.ask(message)
+            allocator.enqueue(message)
             self._grant_permits(allocator)
 
     @handle.register
     async def _(self, message: ReturnPermit) -> None:
         allocator = self._allocators.get(store_name(message.service))
         if allocator is not None:
-            allocator.end(message.permit)
+            allocator.release(message.permit)
             self._grant_permits(allocator)
 
     async def announce(self, message: Announcement) -> None:
@@ -307,7 +307,7 @@
         if order.action == LOAD:
             took = self._loop.time() - began
             self.observe_load(hosted.owner.service, took)
-        hosted.owner.finish_order(order, verdict, self._loop.time())
+        hosted.owner.handle_order_result(order, verdict, self._loop.time())
         self._carry_out(hosted)
 
     async def _send_order(self, order: Order) -> str:
@@ -324,8 +324,8 @@
         if node is not None:
             self._peers.send(node.address, message)
 
-    def _grant_permits(self, allocator: Allocator) -> None:
-        for grant in allocator.tick(self._loop.time()):
+    def _grant_permits(self, allocator: PermitAllocator) -> None:
+        for grant in allocator.grant(self._loop.time()):
             self._send_owner(grant.pool, grant)
 
     # -- time ----------------------------------------------------------
@@ -358,7 +358,7 @@
         if since < _DIGEST_EVERY:
             return
         nodes = self._nodes_of_region(hosted.owner.pool)
-        digest = hosted.owner.digest(nodes, now)
+        digest = hosted.owner.build_digest(nodes, now)
         hosted.digest_at = now
         if digest is None:
             return
--- a/src/ridgesill/app/quarantine.py
+++ b/src/ridgesill/app/quarantine.py
@@ -18,10 +18,10 @@
     PutFingerprintKey,
 )
 from ridgesill.core.fleet.messages import Upstream
-from ridgesill.core.serving.answered import Answered
+from ridgesill.core.serving.answered import RecentAnswers
 from ridgesill.core.serving.fingerprints import (
     Fingerprint,
-    Fingerprints,
+    Fingerprinter,
     Identity,
 )
 from ridgesill.core.state import State
@@ -68,8 +68,8 @@
 
     def __init__(self, is_refused: IsRefused) -> None:
         self._is_refused = is_refused
-        self._fingerprints = Fingerprints()
-        self._answered = Answered()
+        self._fingerprints = Fingerprinter()
+        self._answered = RecentAnswers()
         self._loop = asyncio.get_running_loop()
         self._suspects = Suspects()
         self._index = 0
@@ -92,7 +92,7 @@
         if state.index:
             self._follows.set()
         if self._fingerprints.key != state.fingerprint_key:
-            self._fingerprints = Fingerprints(state.fingerprint_key)
+            self._fingerprints = Fingerprinter(state.fingerprint_key)
         self._drop_told()
 
     def _drop_told(self) -> None:
@@ -113,10 +113,10 @@
         The hash of a whole request, which costs time on the data path, is
         taken only where one with the same path is a suspect.
         """
-        target = self._fingerprints.take_target(identity.target)
+        target = self._fingerprints.hash_target(identity.target)
         if not self._suspects.has_target(target) and not self._own:
             return None
-        fingerprint = self._fingerprints.take(identity)
+        fingerprint = self._fingerprints.compute(identity)
         return fingerprint if self.ends(fingerprint) else None
 
     def ends(self, fingerprint: Fingerprint) -> set[str]:
@@ -142,9 +142,9 @@
         """Notes a request whose answer its upstream broke off."""
         if not self._fingerprints.key:
             return
-        if self._answered.knows(identity.local_hash(), self._loop.time()):
+        if self._answered.is_answered(identity.local_hash(), self._loop.time()):
             return
-        fingerprint = self._fingerprints.take(identity)
+        fingerprint = self._fingerprints.compute(identity)
         end = self._doubted.get(upstream.name)
         if end is None:
             end = self._doubted[upstream.name] = _End(upstream.name)
@@ -179,7 +179,7 @@
         Args:
             local_hash: of the request, as `Identity` takes it.
         """
-        self._answered.note(local_hash, self._loop.time())
+        self._answered.record(local_hash, self._loop.time())
 
     def note_served(self, fingerprint: Fingerprint) -> None:
         """Takes back what is held against a request with a whole answer."""
--- a/src/ridgesill/app/upstream_search.py
+++ b/src/ridgesill/app/upstream_search.py
@@ -16,7 +16,7 @@
     Upstream,
     WantArtifact,
 )
-from ridgesill.core.serving.choice import Wanted
+from ridgesill.core.serving.choice import Requirements
 from ridgesill.core.serving.front_limits import LimitDraws
 from ridgesill.core.serving.rank import rank_request
 from ridgesill.core.serving.rates import weigh_priority
@@ -112,14 +112,16 @@
         self._terms = terms
         self.draws.weight = weigh_priority(terms.priority)
 
-    def wanted(self) -> Wanted:
+    def wanted(self) -> Requirements:
         """Returns what the upstream must hold."""
         name = self._terms.service
         service = self._front.table.services.get(name)
         if service is None or service.engine is None:
-            return Wanted(name)
+            return Requirements(name)
         artifact = self._facts.artifact
-        return Wanted(name, artifact, self._front.versions.get(artifact, 0))
+        return Requirements(
+            name, artifact, self._front.versions.get(artifact, 0)
+        )
 
     async def find(
         self, tried: Collection[str], *, is_new: bool
@@ -142,15 +144,15 @@
     def takes_requests(self, upstream: str) -> bool:
         """Whether an upstream wants this request, by its own word."""
         now = self._loop.time()
-        if not self._front.chooser.takes_requests(upstream, now):
+        if not self._front.chooser.accepts_requests(upstream, now):
             return False
-        return self.draws.is_open(upstream, now)
+        return self.draws.is_allowed(upstream, now)
 
     def _refuse_unavailable(self) -> Refusal | None:
         """Returns a refusal where upstreams say that they take no more."""
         if resting := self._refuse_resting():
             return resting
-        closed = self.draws.closed()
+        closed = self.draws.list_denied()
         if not closed:
             return None
         now = self._loop.time()
@@ -158,10 +160,10 @@
         log_message(
             "request:limited",
             request=self._facts.request,
-            limits={name: limits.allowed(name, now) for name in closed},
-            **limits.rates.describe(closed[0], now),
+            limits={name: limits.allowed_rate(name, now) for name in closed},
+            **limits.rates.describe_decision(closed[0], now),
         )
-        return Refusal("limited", limits.rates.comes_back_after())
+        return Refusal("limited", limits.rates.retry_after_seconds())
 
     def _refuse_limited(self) -> Refusal | None:
         """Returns a refusal where the limits of all upstreams are used up."""
@@ -173,13 +175,13 @@
             for upstream in self._front.chooser.view.of_service(
                 self._terms.service
             )
-            if self._front.chooser.takes_requests(upstream.name, now)
+            if self._front.chooser.accepts_requests(upstream.name, now)
         ]
-        if not self.draws.are_all_closed(staying, now):
+        if not self.draws.are_all_denied(staying, now):
             return None
         return self._refuse_unavailable()
 
-    def _choose(self, wanted: Wanted) -> Upstream | None:
+    def _choose(self, wanted: Requirements) -> Upstream | None:
         now = self._loop.time()
         return self._front.chooser.choose(wanted, self._tried, now, self.draws)
 
@@ -190,7 +192,7 @@
         """
         now = self._loop.time()
         service = self._terms.service
-        seconds = self._front.chooser.soonest_rest_end(service, now)
+        seconds = self._front.chooser.seconds_until_available(service, now)
         if not seconds:
             return None
         # Clients are told hundredths of seconds; none should be early.
@@ -251,7 +253,7 @@
             return False
         front = self._front
         service = self._terms.service
-        share = front.admission(service).share_refused(
+        share = front.admission(service).refused_share(
             front.chooser.load(service), self._terms.goal, self._loop.time()
         )
         return front.rng.random() < share
@@ -259,14 +261,14 @@
     # -- the owner's word ----------------------------------------------
 
     def _make_want(
-        self, wanted: Wanted, patience: float, *, is_held: bool
+        self, wanted: Requirements, patience: float, *, is_held: bool
     ) -> WantArtifact:
         now = self._loop.time()
         chooser = self._front.chooser
         avoid = {
             *self._tried,
-            *chooser.out_of_use(self._terms.service, now),
-            *self.draws.closed(),
+            *chooser.list_unusable(self._terms.service, now),
+            *self.draws.list_denied(),
         }
         return WantArtifact(
             wanted.service,
@@ -285,7 +287,9 @@
     def _goal_at(self) -> float:
         return self._terms.arrived_at + self._terms.goal
 
-    async def _ask_assignment(self, wanted: Wanted) -> ArtifactReady | None:
+    async def _ask_assignment(
+        self, wanted: Requirements
+    ) -> ArtifactReady | None:
         """Returns what the owner says of the holders, if it does at once."""
         want = self._make_want(wanted, 0.0, is_held=True)
         self._is_asking = True
@@ -294,7 +298,7 @@
         return answer
 
     def _take_answer(
-        self, wanted: Wanted, answer: ArtifactReady
+        self, wanted: Requirements, answer: ArtifactReady
     ) -> Upstream | None:
         """Returns the upstream of an owner's answer, unless it has left."""
         view = self._front.chooser.view
@@ -310,7 +314,7 @@
         self.chosen_by = "owner"
         return upstream
 
-    async def _want(self, wanted: Wanted) -> Upstream | Refusal:
+    async def _want(self, wanted: Requirements) -> Upstream | Refusal:
         """Has the owner bring what the request needs, and waits for it."""
         while self._wants < _MOST_WANTS:
             self._wants += 1
@@ -336,7 +340,7 @@
         return min(left, most - self.waited)
 
     async def _want_once(
-        self, wanted: Wanted, patience: float
+        self, wanted: Requirements, patience: float
     ) -> ArtifactReady:
         asked_at = self._loop.time()
         self._is_asking = True
@@ -366,7 +370,7 @@
         reading = self._front.reading(self._terms.service)
         seconds = self._read_seconds
         if not self._reading_at or not seconds:
-            seconds = reading.seconds(self._facts.prompt_tokens)
+            seconds = reading.estimate_seconds(self._facts.prompt_tokens)
         return rank_request(seconds, self._goal_at() - now)
 
     def note_reading_ended(
--- a/src/ridgesill/app/upstream_words.py
+++ b/src/ridgesill/app/upstream_words.py
@@ -60,12 +60,12 @@
         if is_news or word != attrs.evolve(NO_WORD, limit=word.limit):
             self._log(upstream, word, heard_in)
         if word.rest:
-            self._unavailable.note_rest(upstream.name, now + word.rest)
+            self._unavailable.record_rest(upstream.name, now + word.rest)
         # With its address, another one has all that is meant for it.
         is_replaced = word.instance not in ("", _instance(upstream))
         if not word.leaves and not is_replaced:
             return
-        if self._unavailable.note_leaving(upstream.name, now):
+        if self._unavailable.record_leaving(upstream.name, now):
             self._tell(upstream)
 
     def _take_limit(
@@ -77,12 +77,12 @@
     ) -> bool:
         """Takes a limit, or that none is named; returns whether it is news."""
         if word.limit is not None:
-            return self._limits.note_word(
+            return self._limits.record_limit(
                 upstream.name, word.limit, heard_in.sent_at, now
             )
         is_success = heard_in.status < _REDIRECT and not word.unread_limit
         if is_success and self._limits.known:
-            self._limits.known.note_silence(upstream.name, heard_in.sent_at)
+            self._limits.known.record_unlimited(upstream.name, heard_in.sent_at)
         return False
 
     def _log(
--- a/src/ridgesill/core/fleet/placement.py
+++ b/src/ridgesill/core/fleet/placement.py
@@ -80,7 +80,7 @@
         """Counts requests by artifact."""
         for artifact, count in used.items():
             for _ in range(min(count, _MOST_COUNTED)):
-                self.popularity.note(artifact, now)
+                self.popularity.record(artifact, now)
 
     def survey(
         self, engines: Sequence[Engine], demand: Demand, now: float
--- a/src/ridgesill/core/fleet/rate_ledger.py
+++ b/src/ridgesill/core/fleet/rate_ledger.py
@@ -18,7 +18,7 @@
 import attrs
 
 from ridgesill.core.serving.customers import Quota
-from ridgesill.core.serving.rates import BY_OWN_PART, RateState, Uses
+from ridgesill.core.serving.rates import DECIDE_LOCALLY, RateState, Uses
 
 # Over which offers are averaged, in seconds.
 _OFFERS_SECONDS = 0.6
@@ -167,7 +167,7 @@
             now: the clock, in seconds.
         """
         if now < self.offers_known_at:
-            return BY_OWN_PART
+            return DECIDE_LOCALLY
         level = min(self.level, self.quota.burst)
         rate = max(rate + level / _LEVEL_SECONDS, 0.0)
         offers = self.offers_rate(now)
--- a/src/ridgesill/core/pool/context.py
+++ b/src/ridgesill/core/pool/context.py
@@ -44,13 +44,13 @@
     permit: str
     runner: str
     adapter: str
-    asked_at: float
-    ordered: bool = False
+    requested_at: float
+    is_ordered: bool = False
     victim: str = ""
 
 
 @attrs.define
-class Context:
+class PoolState:
     """The state of one pool.
 
     Attributes:
@@ -86,16 +86,16 @@
         """Whether a load of an adapter is asked for or runs."""
         return any(load.adapter == adapter for load in self.loads.values())
 
-    def is_heard(self, runner: RunnerState, now: float) -> bool:
+    def is_live(self, runner: RunnerState, now: float) -> bool:
         """Whether a runner has announced itself lately."""
-        return now - runner.heard_at <= self.limits.announce_patience
+        return now - runner.announced_at <= self.limits.announce_patience
 
-    def refuse(self, waiter: Waiter, reason: str, after: float) -> None:
+    def refuse_waiter(self, waiter: Waiter, reason: str, after: float) -> None:
         """Takes a request out of the queue and refuses it."""
         self.waiting.remove(waiter)
-        self.refuse_now(waiter.admit, reason, after)
+        self.refuse_request(waiter.admit, reason, after)
 
-    def refuse_now(self, admit: Admit, reason: str, after: float) -> None:
+    def refuse_request(self, admit: Admit, reason: str, after: float) -> None:
         """Refuses a request that is not in the queue."""
         refused = Refused(admit.request, reason, round(max(after, 0.1), 3))
         self.output.append(Reply(admit.node, refused))
--- a/src/ridgesill/core/pool/hints.py
+++ b/src/ridgesill/core/pool/hints.py
@@ -31,7 +31,7 @@
     spare: int = 0
     waiting: int = 0
 
-    def take(self, digest: Digest) -> None:
+    def apply_digest(self, digest: Digest) -> None:
         """Takes a digest; one from an earlier owner is passed over.
 
         After a gap, what is resident stays as it was known until the next
@@ -52,7 +52,7 @@
 
 
 @attrs.define
-class DigestMaker:
+class DigestBuilder:
     """Makes an owner's digests, whole at first and then now and then."""
 
     pool: str
@@ -63,7 +63,7 @@
     _whole_at: float = float("-inf")
     _made_at: float = float("-inf")
 
-    def make(
+    def build(
         self,
         resident: frozenset[str],
         spare: int,
--- a/src/ridgesill/core/pool/loads.py
+++ b/src/ridgesill/core/pool/loads.py
@@ -2,7 +2,7 @@
 
 import itertools
 
-from ridgesill.core.pool.context import Context, Load
+from ridgesill.core.pool.context import Load, PoolState
 from ridgesill.core.pool.messages import (
     LOAD_FAILED,
     AskPermit,
@@ -36,7 +36,7 @@
         seconds: what a load takes, as a moving mean.
     """
 
-    def __init__(self, context: Context, placement: Placement) -> None:
+    def __init__(self, context: PoolState, placement: Placement) -> None:
         self.seconds = 0.5
         self._context = context
         self._placement = placement
@@ -48,7 +48,7 @@
         """Notes that a pass over the queue begins."""
         self._exhausted = False
 
-    def take_permit(self, message: GrantPermit, now: float) -> None:
+    def handle_permit(self, message: GrantPermit, now: float) -> None:
         """Begins the load that a permit is for, or another in its place."""
         load = self._context.loads.get(message.permit)
         if load is None:
@@ -57,42 +57,47 @@
         # Much may have changed while the permit was on its way; what it was
         # asked for may be served, given up, or without a slot.
         if not self._begin_load(load, now) and not self._begin_other(load, now):
-            self.drop(load)
+            self.cancel(load)
 
-    def drop(self, load: Load) -> None:
+    def cancel(self, load: Load) -> None:
         """Ends a load and gives its permit back."""
         self._context.loads.pop(load.permit, None)
         self._give_back(load.permit)
 
-    def drop_unordered(self) -> None:
+    def cancel_unordered(self) -> None:
         """Gives up all loads that have not been ordered."""
         for load in list(self._context.loads.values()):
-            if not load.ordered:
-                self.drop(load)
+            if not load.is_ordered:
+                self.cancel(load)
 
-    def drop_of_runner(self, runner: str) -> None:
+    def cancel_on_runner(self, runner: str) -> None:
         """Gives up all loads of a runner."""
         for load in list(self._context.loads.values()):
             if load.runner == runner:
-                self.drop(load)
+                self.cancel(load)
 
     def tick(self, now: float) -> None:
         """Asks anew where an allocator may have lost the question."""
         for load in list(self._context.loads.values()):
-            if not load.ordered and now - load.asked_at > _PERMIT_PATIENCE:
-                self.drop(load)
+            if (
+                not load.is_ordered
+                and now - load.requested_at > _PERMIT_PATIENCE
+            ):
+                self.cancel(load)
 
     def _give_back(self, permit: str) -> None:
         give_back = ReturnPermit(permit, self._context.service)
         self._context.output.append(ToAllocator(give_back))
 
-    def consider(self, group: list[Waiter], adapter: str, now: float) -> None:
+    def request_load(
+        self, group: list[Waiter], adapter: str, now: float
+    ) -> None:
         """Asks for a load if those who wait for an adapter call for one."""
         holders = self._context.holders(adapter)
         if self._context.is_loading(adapter):
             self._note_stall(group, holders, now)
             return
-        if holders and not self._placement.deserves_copy(group, holders, now):
+        if holders and not self._placement.needs_copy(group, holders, now):
             return
         self._note_stall(group, holders, now)
         if not holders and self._exhausted:
@@ -136,7 +141,7 @@
         victim = self._placement.choose_victim(runner, now) if is_full else ""
         if victim is None:
             return False
-        load.ordered = True
+        load.is_ordered = True
         runner.slots[load.adapter] = Slot(LOADING, now)
         if victim:
             load.victim = victim
@@ -161,7 +166,7 @@
             runner = self._placement.choose_target(adapter, [], now)
             if runner is None:
                 break
-            other = Load(load.permit, runner.name, adapter, load.asked_at)
+            other = Load(load.permit, runner.name, adapter, load.requested_at)
             self._context.loads[load.permit] = other
             return self._begin_load(other, now)
         self._context.loads[load.permit] = load
@@ -171,7 +176,7 @@
         self, runner: RunnerState, adapter: str, now: float
     ) -> None:
         slot = runner.slots[adapter]
-        slot.become(UNLOADING, now)
+        slot.enter(UNLOADING, now)
         self.order(UNLOAD, runner, adapter)
 
     def order(self, action: str, runner: RunnerState, adapter: str) -> None:
@@ -179,18 +184,18 @@
         order = Order(
             action,
             runner.name,
-            runner.said.address,
+            runner.announcement.address,
             adapter,
             self._context.epoch,
             self._context.limits.order_deadline,
         )
         self._context.output.append(SendOrder(order))
 
-    def finish(self, order: Order, verdict: str, now: float) -> None:
+    def handle_result(self, order: Order, verdict: str, now: float) -> None:
         """Takes what became of an order to load or unload."""
         load = self._load_of(order)
         if load is not None:
-            self.drop(load)
+            self.cancel(load)
         runner = self._context.runners.get(order.runner)
         if runner is None:
             return
@@ -216,13 +221,13 @@
         if verdict == "done":
             took = now - slot.since
             self.seconds += _SMOOTHING * (took - self.seconds)
-            slot.become(READY, now)
+            slot.enter(READY, now)
             self._failed.pop(adapter, None)
             return
         if verdict == "failed":
             del runner.slots[adapter]
         else:
-            slot.become(SUSPECT, now)
+            slot.enter(SUSPECT, now)
         self._note_failed_load(runner, adapter, now)
 
     def _note_failed_load(
@@ -236,7 +241,7 @@
             return
         del self._failed[adapter]
         for waiter in list(self._context.waiting.group(adapter)):
-            self._context.refuse(waiter, LOAD_FAILED, pause)
+            self._context.refuse_waiter(waiter, LOAD_FAILED, pause)
 
     def _finish_unload(
         self, runner: RunnerState, adapter: str, verdict: str, now: float
@@ -245,9 +250,9 @@
         if slot is None:
             return
         if verdict == "done":
-            runner.drop(adapter, now)
+            runner.remove_adapter(adapter, now)
         else:
-            slot.become(SUSPECT, now)
+            slot.enter(SUSPECT, now)
         for load in list(self._context.loads.values()):
             if (load.runner, load.victim) == (runner.name, adapter):
                 self._go_on_loading(load, runner, verdict)
@@ -261,4 +266,4 @@
             self.order(LOAD, runner, load.adapter)
             return
         runner.slots.pop(load.adapter, None)
-        self.drop(load)
+        self.cancel(load)
--- a/src/ridgesill/core/pool/owner.py
+++ b/src/ridgesill/core/pool/owner.py
@@ -8,8 +8,8 @@
 from functools import singledispatchmethod
 from typing import Any
 
-from ridgesill.core.pool.context import Context, PoolLimits
-from ridgesill.core.pool.hints import DigestMaker
+from ridgesill.core.pool.context import PoolLimits, PoolState
+from ridgesill.core.pool.hints import DigestBuilder
 from ridgesill.core.pool.loads import Loads
 from ridgesill.core.pool.messages import (
     ABSENT,
@@ -69,7 +69,7 @@
         unloads_at: float = float("-inf"),
     ) -> None:
         limits = limits or PoolLimits()
-        self._context = Context(
+        self._context = PoolState(
             pool,
             service,
             epoch,
@@ -88,7 +88,7 @@
         self._placement = Placement(self._context)
         self._loads = Loads(self._context, self._placement)
         self._pins = Pins(self._context)
-        self._digests = DigestMaker(pool, epoch)
+        self._digests = DigestBuilder(pool, epoch)
         self._fencing: set[str] = set()
         self._service_seconds = 1.0
 
@@ -103,7 +103,9 @@
         self._context.output = []
         return output
 
-    def digest(self, receivers: frozenset[str], now: float) -> Digest | None:
+    def build_digest(
+        self, receivers: frozenset[str], now: float
+    ) -> Digest | None:
         """Returns what entry nodes should be told now, if anything."""
         resident = frozenset(
             adapter
@@ -112,12 +114,12 @@
             if slot.state in (READY, LOADING)
         )
         spare = sum(
-            max(r.said.capacity - r.in_flight, 0)
+            max(r.announcement.capacity - r.in_flight, 0)
             for r in self.runners.values()
-            if not r.said.leaving
+            if not r.announcement.leaving
         )
         waiting = len(self.waiting)
-        return self._digests.make(resident, spare, waiting, receivers, now)
+        return self._digests.build(resident, spare, waiting, receivers, now)
 
     def entry_nodes(self) -> set[str]:
         """Returns the entry nodes that have a request here."""
@@ -128,14 +130,14 @@
         """Whether no order, request or waiter is left."""
         return not (len(self._pins) or self._context.loads or len(self.waiting))
 
-    def stop_orders(self) -> None:
+    def cancel_unordered_loads(self) -> None:
         """Gives up loads not yet ordered, ahead of a handover."""
-        self._loads.drop_unordered()
+        self._loads.cancel_unordered()
 
-    def drain(self) -> None:
+    def refuse_waiting(self) -> None:
         """Refuses those who wait, ahead of a handover."""
         for waiter in self.waiting.all():
-            self._context.refuse(waiter, NO_RUNNER, 1.0)
+            self._context.refuse_waiter(waiter, NO_RUNNER, 1.0)
 
     @singledispatchmethod
     def receive(self, message: Any, now: float) -> None:
@@ -146,13 +148,13 @@
 
     @receive.register
     def _(self, message: Admit, now: float) -> None:
-        self._context.popularity.note(message.adapter, now)
+        self._context.popularity.record(message.adapter, now)
         if not self._usable(message, now):
-            self._context.refuse_now(message, NO_RUNNER, 2.0)
+            self._context.refuse_request(message, NO_RUNNER, 2.0)
             return
         wait = self._expected_wait(message, now)
         if wait > message.patience:
-            self._context.refuse_now(message, TOO_LATE, wait)
+            self._context.refuse_request(message, TOO_LATE, wait)
             return
         waiter = self.waiting.add(message, now)
         if len(self.waiting) > self.limits.queue:
@@ -161,16 +163,17 @@
 
     def _usable(self, message: Admit, now: float) -> bool:
         return any(
-            not runner.said.leaving and self._context.is_heard(runner, now)
+            not runner.announcement.leaving
+            and self._context.is_live(runner, now)
             for runner in self.runners.values()
         )
 
     def _shed(self, newest: Waiter, now: float) -> None:
-        least = self.waiting.least()
+        least = self.waiting.find_least_important()
         if least is None:
             return
         reason = QUEUE_FULL if least is newest else SHED
-        self._context.refuse(least, reason, self._drain_seconds())
+        self._context.refuse_waiter(least, reason, self._drain_seconds())
 
     def _expected_wait(self, message: Admit, now: float) -> float:
         """Estimates the seconds until a request begins."""
@@ -188,7 +191,7 @@
         return wait
 
     def _queue_seconds(self, message: Admit) -> float:
-        capacity = sum(r.said.capacity for r in self.runners.values())
+        capacity = sum(r.announcement.capacity for r in self.runners.values())
         spare = capacity - len(self._pins)
         if spare > 0:
             return 0.0
@@ -200,7 +203,7 @@
         return (ahead + 1) * self._service_seconds / max(capacity, 1)
 
     def _drain_seconds(self) -> float:
-        capacity = sum(r.said.capacity for r in self.runners.values())
+        capacity = sum(r.announcement.capacity for r in self.runners.values())
         waiting = len(self.waiting) + 1
         return max(waiting * self._service_seconds / max(capacity, 1), 0.5)
 
@@ -224,7 +227,7 @@
             self._grant(waiter, runner, now)
         remaining = self.waiting.group(adapter)
         if remaining and adapter:
-            self._loads.consider(remaining, adapter, now)
+            self._loads.request_load(remaining, adapter, now)
 
     def _grant(self, waiter: Waiter, runner: RunnerState, now: float) -> None:
         admit = waiter.admit
@@ -233,7 +236,7 @@
         pin = Pin(
             admit.request,
             runner.name,
-            runner.said.incarnation,
+            runner.announcement.incarnation,
             admit.adapter,
             admit.team,
         )
@@ -242,8 +245,8 @@
         granted = Granted(
             admit.request,
             runner.name,
-            runner.said.address,
-            runner.said.incarnation,
+            runner.announcement.address,
+            runner.announcement.incarnation,
             waited,
             now - waiter.missing_since if waiter.stalled else 0.0,
             runner.in_flight,
@@ -254,10 +257,12 @@
 
     @receive.register
     def _(self, message: GrantPermit, now: float) -> None:
-        self._loads.take_permit(message, now)
+        self._loads.handle_permit(message, now)
         self.dispatch(now)
 
-    def finish_order(self, order: Order, verdict: str, now: float) -> None:
+    def handle_order_result(
+        self, order: Order, verdict: str, now: float
+    ) -> None:
         """Takes what became of an order.
 
         Args:
@@ -269,7 +274,7 @@
         if order.action == FENCE:
             self._finish_fence(order, verdict, now)
         else:
-            self._loads.finish(order, verdict, now)
+            self._loads.handle_result(order, verdict, now)
         self.dispatch(now)
 
     def _finish_fence(self, order: Order, verdict: str, now: float) -> None:
@@ -310,13 +315,13 @@
         self, runner: RunnerState, pin: Pin, verdict: str, now: float
     ) -> None:
         if verdict == FAILED:
-            runner.note_failure(now)
+            runner.record_failure(now)
         elif verdict == ABSENT:
             slot = runner.slots.get(pin.adapter)
             if slot and not slot.pins:
-                runner.drop(pin.adapter, now)
+                runner.remove_adapter(pin.adapter, now)
         else:
-            runner.note_success()
+            runner.record_success()
 
     def _forget_waiter(self, request: str) -> None:
         waiter = self.waiting.find(request)
@@ -328,9 +333,9 @@
         self._pins.reconcile(message, now)
         self.dispatch(now)
 
-    def lose_node(self, node: str) -> None:
+    def handle_lost_node(self, node: str) -> None:
         """Notes that an entry node is gone: runners answer for its requests."""
-        self._pins.lose_node(node)
+        self._pins.handle_lost_node(node)
         for waiter in self.waiting.all():
             if waiter.admit.node == node:
                 self.waiting.remove(waiter)
@@ -342,11 +347,11 @@
         runner = self.runners.get(message.name)
         if runner is None:
             self.runners[message.name] = self._meet(message, now)
-        elif runner.said.incarnation != message.incarnation:
+        elif runner.announcement.incarnation != message.incarnation:
             self._replace(runner, message, now)
-        elif message.sequence >= runner.said.sequence:
-            runner.said = message
-            runner.heard_at = now
+        elif message.sequence >= runner.announcement.sequence:
+            runner.announcement = message
+            runner.announced_at = now
             self._reconcile(runner, now)
         self.dispatch(now)
 
@@ -362,13 +367,13 @@
         self, runner: RunnerState, message: Announcement, now: float
     ) -> None:
         """Notes that a runner restarted: its slots and requests are gone."""
-        self._pins.end_of_runner(runner.name)
-        self._loads.drop_of_runner(runner.name)
+        self._pins.end_on_runner(runner.name)
+        self._loads.cancel_on_runner(runner.name)
         self.runners[runner.name] = self._meet(message, now)
 
     def _reconcile(self, runner: RunnerState, now: float) -> None:
         """Brings what is believed in line with a report, which may lag."""
-        said = runner.said
+        said = runner.announcement
         for adapter, slot in list(runner.slots.items()):
             if not adapter or now - slot.since <= self.limits.report_lag:
                 continue
@@ -378,7 +383,7 @@
                     slot.state = READY
             elif slot.state in (READY, SUSPECT) and not slot.is_pinned:
                 del runner.slots[adapter]
-        runner.learn(now, self.limits.report_lag)
+        runner.add_reported(now, self.limits.report_lag)
 
     def _unexplained(self, slot: Slot, active: int) -> int:
         return max(active - len(slot.pins), 0)
@@ -389,20 +394,22 @@
         """Refuses who can no longer begin in time, and goes on."""
         for waiter in self.waiting.all():
             if now >= waiter.deadline:
-                self._context.refuse(waiter, TOO_LATE, self._drain_seconds())
+                self._context.refuse_waiter(
+                    waiter, TOO_LATE, self._drain_seconds()
+                )
         self._loads.tick(now)
         self._forget_silent(now)
         self.dispatch(now)
 
     def _forget_silent(self, now: float) -> None:
         for runner in list(self.runners.values()):
-            silent = now - runner.heard_at
+            silent = now - runner.announced_at
             gone = silent > 10 * self.limits.announce_patience
             if gone and not runner.in_flight:
                 del self.runners[runner.name]
         if not self.runners:
             for waiter in self.waiting.all():
-                self._context.refuse(waiter, NO_RUNNER, 2.0)
+                self._context.refuse_waiter(waiter, NO_RUNNER, 2.0)
 
     def fence(self) -> None:
         """Tells every runner this owner's epoch, so that it need not wait."""
--- a/src/ridgesill/core/pool/permits.py
+++ b/src/ridgesill/core/pool/permits.py
@@ -7,11 +7,11 @@
 
 from ridgesill.core.pool.messages import AskPermit, GrantPermit
 
-PERMIT_LIFETIME = 15.0
+PERMIT_LIFETIME_SECONDS = 15.0
 
 
 @attrs.define
-class Allocator:
+class PermitAllocator:
     """A token bucket with a bound on loads at once.
 
     Attributes:
@@ -23,23 +23,23 @@
 
     rate: float
     concurrency: int
-    now: float
+    refilled_at: float
     _tokens: float = 0.0
     _held: dict[str, float] = attrs.Factory(dict)
     _asks: list[tuple[int, int, AskPermit]] = attrs.Factory(list)
     _order: itertools.count = attrs.Factory(itertools.count)
 
-    def ask(self, ask: AskPermit) -> None:
+    def enqueue(self, ask: AskPermit) -> None:
         """Queues a request for a permit; the most urgent goes first."""
         heapq.heappush(self._asks, (-ask.urgency, next(self._order), ask))
 
-    def end(self, permit: str) -> None:
+    def release(self, permit: str) -> None:
         """Takes a permit back, held or still asked for."""
         if self._held.pop(permit, None) is None:
             self._asks = [a for a in self._asks if a[2].permit != permit]
             heapq.heapify(self._asks)
 
-    def tick(self, now: float) -> list[GrantPermit]:
+    def grant(self, now: float) -> list[GrantPermit]:
         """Returns the permits that are free at a time."""
         self._refill(now)
         self._expire(now)
@@ -55,17 +55,17 @@
         return self._tokens >= 1.0 and len(self._held) < self.concurrency
 
     def _refill(self, now: float) -> None:
-        gained = (now - self.now) * self.rate
+        gained = (now - self.refilled_at) * self.rate
         # The bucket holds no more than the loads that may run at once.
         self._tokens = min(self._tokens + gained, float(self.concurrency))
-        self.now = now
+        self.refilled_at = now
 
     def _expire(self, now: float) -> None:
         # An owner that was lost never gives its permits back.
         expired = [
             permit
             for permit, at in self._held.items()
-            if now - at > PERMIT_LIFETIME
+            if now - at > PERMIT_LIFETIME_SECONDS
         ]
         for permit in expired:
             del self._held[permit]
--- a/src/ridgesill/core/pool/pins.py
+++ b/src/ridgesill/core/pool/pins.py
@@ -1,13 +1,13 @@
 """Pins: which requests use which adapters, and who answers for them."""
 
-from ridgesill.core.pool.context import Context
+from ridgesill.core.pool.context import PoolState
 from ridgesill.core.pool.messages import Holding, Pin
 
 
 class Pins:
     """The requests that were granted a runner of a pool."""
 
-    def __init__(self, context: Context) -> None:
+    def __init__(self, context: PoolState) -> None:
         self._context = context
         self._pins: dict[str, Pin] = {}
         self._pinned_at: dict[str, float] = {}
@@ -46,7 +46,7 @@
         if runner is not None:
             runner.unpin(pin)
 
-    def end_of_runner(self, runner: str) -> None:
+    def end_on_runner(self, runner: str) -> None:
         """Ends all pins on a runner that has lost its requests."""
         for pin in list(self._pins.values()):
             if pin.runner == runner:
@@ -63,7 +63,7 @@
             if self.age(request, now) > self._context.limits.report_lag:
                 self.end(request)
 
-    def lose_node(self, node: str) -> None:
+    def handle_lost_node(self, node: str) -> None:
         """Leaves a lost node's pins to the runners' own reports.
 
         Its requests may still run, so an adapter stays until its runner
@@ -84,5 +84,5 @@
         runner = self._context.runners.get(pin.runner)
         if pin.request in self._pins or runner is None:
             return
-        if runner.said.incarnation == pin.incarnation:
+        if runner.announcement.incarnation == pin.incarnation:
             self.add(pin, node, now)
--- a/src/ridgesill/core/pool/placement.py
+++ b/src/ridgesill/core/pool/placement.py
@@ -1,6 +1,6 @@
 """Which runner serves, which one loads, and what leaves for it."""
 
-from ridgesill.core.pool.context import Context
+from ridgesill.core.pool.context import PoolState
 from ridgesill.core.pool.messages import Admit
 from ridgesill.core.pool.slots import READY, RunnerState
 from ridgesill.core.pool.waiting import Waiter
@@ -16,7 +16,7 @@
     runner is kept for the rest of it, unless `forget` says that it changed.
     """
 
-    def __init__(self, context: Context) -> None:
+    def __init__(self, context: PoolState) -> None:
         self._context = context
         self._worths: dict[str, float | None] = {}
 
@@ -35,7 +35,7 @@
             for runner in self._context.runners.values()
             if runner.is_ready(admit.adapter)
             and runner.has_room(now)
-            and self._context.is_heard(runner, now)
+            and self._context.is_live(runner, now)
         ]
         preferred = [r for r in candidates if r.name not in admit.avoid]
         return min(
@@ -62,20 +62,22 @@
         For stalls and first tokens the emptiest is the best; for batches the
         fullest, whose next step costs the least for one more sequence.
         """
-        share = runner.in_flight / max(runner.said.capacity, 1)
+        share = runner.in_flight / max(runner.announcement.capacity, 1)
         return share * (1.0 - 2.0 * self._context.batch_weight)
 
-    def deserves_copy(
+    def needs_copy(
         self, group: list[Waiter], holders: list[RunnerState], now: float
     ) -> bool:
         """Whether those who wait are worth another copy of a hot adapter."""
         others = [r for r in self._context.runners.values() if r not in holders]
         spare = sum(
-            r.said.capacity - r.in_flight for r in others if r.has_room(now)
+            r.announcement.capacity - r.in_flight
+            for r in others
+            if r.has_room(now)
         )
         if spare <= 0:
             return False
-        capacity = max(r.said.capacity for r in holders)
+        capacity = max(r.announcement.capacity for r in holders)
         return len(group) >= max(
             self._context.limits.copy_margin * capacity, 1.0
         )
@@ -110,7 +112,7 @@
         paused = self._context.paused_until.get((runner.name, adapter), now)
         return (
             runner.has_room(now)
-            and self._context.is_heard(runner, now)
+            and self._context.is_live(runner, now)
             and paused <= now
         )
 
--- a/src/ridgesill/core/pool/popularity.py
+++ b/src/ridgesill/core/pool/popularity.py
@@ -23,7 +23,7 @@
         self._counts: dict[str, tuple[float, float]] = {}
         self._notes = 0
 
-    def note(self, adapter: str, now: float) -> None:
+    def record(self, adapter: str, now: float) -> None:
         """Counts a request."""
         self._counts[adapter] = (self.value(adapter, now) + 1.0, now)
         self._notes += 1
--- a/src/ridgesill/core/pool/slots.py
+++ b/src/ridgesill/core/pool/slots.py
@@ -37,7 +37,7 @@
         """Whether a request uses it or may still use it."""
         return bool(self.pins) or self.reported > 0
 
-    def become(self, state: str, now: float) -> None:
+    def enter(self, state: str, now: float) -> None:
         """Enters a state."""
         self.state = state
         self.since = now
@@ -52,25 +52,27 @@
             them.
     """
 
-    said: Announcement
-    heard_at: float
+    announcement: Announcement
+    announced_at: float
     slots: dict[str, Slot] = attrs.Factory(dict)
     in_flight: int = 0
     failures: int = 0
     ejected_until: float = float("-inf")
     fenced_epoch: int = 0
-    dropped: dict[str, float] = attrs.Factory(dict)
+    removed_at: dict[str, float] = attrs.Factory(dict)
 
     @property
     def name(self) -> str:
         """The runner's name."""
-        return self.said.name
+        return self.announcement.name
 
     def has_room(self, now: float) -> bool:
         """Whether it may be given one more request."""
-        if self.said.leaving or now < self.ejected_until:
+        if self.announcement.leaving or now < self.ejected_until:
             return False
-        limit = 1 if self.failures >= _EJECT_AFTER else self.said.capacity
+        limit = (
+            1 if self.failures >= _EJECT_AFTER else self.announcement.capacity
+        )
         return self.in_flight < limit
 
     def is_ready(self, adapter: str) -> bool:
@@ -84,7 +86,7 @@
         """Adds a request."""
         slot = self.slots.get(pin.adapter)
         if slot is None:
-            slot = Slot(READY, self.heard_at)
+            slot = Slot(READY, self.announced_at)
             self.slots[pin.adapter] = slot
         slot.pins[pin.request] = pin
         self.in_flight += 1
@@ -95,26 +97,26 @@
         if slot and slot.pins.pop(pin.request, None):
             self.in_flight -= 1
 
-    def drop(self, adapter: str, now: float) -> None:
+    def remove_adapter(self, adapter: str, now: float) -> None:
         """Notes that an adapter is no longer there."""
         self.slots.pop(adapter, None)
-        self.dropped[adapter] = now
+        self.removed_at[adapter] = now
 
-    def learn(self, now: float, lag: float) -> None:
+    def add_reported(self, now: float, lag: float) -> None:
         """Takes the adapters that a report lists, but not those that left."""
-        self.dropped = {
-            name: at for name, at in self.dropped.items() if now - at <= lag
+        self.removed_at = {
+            name: at for name, at in self.removed_at.items() if now - at <= lag
         }
-        for adapter in self.said.resident:
-            if adapter not in self.slots and adapter not in self.dropped:
+        for adapter in self.announcement.resident:
+            if adapter not in self.slots and adapter not in self.removed_at:
                 self.slots[adapter] = Slot(READY, now)
 
     def free_slots(self) -> int:
         """Returns how many slots hold nothing."""
         held = sum(1 for adapter in self.slots if adapter)
-        return self.said.slots - held
+        return self.announcement.slots - held
 
-    def note_failure(self, now: float) -> None:
+    def record_failure(self, now: float) -> None:
         """Counts a failed request; too many in a row eject the runner."""
         self.failures += 1
         if self.failures >= _EJECT_AFTER:
@@ -122,6 +124,6 @@
             pause = min(_EJECT_FIRST * 2**doublings, _EJECT_MOST)
             self.ejected_until = now + pause
 
-    def note_success(self) -> None:
+    def record_success(self) -> None:
         """Ends a run of failures."""
         self.failures = 0
--- a/src/ridgesill/core/pool/waiting.py
+++ b/src/ridgesill/core/pool/waiting.py
@@ -93,7 +93,7 @@
                 return waiter
         return None
 
-    def least(self) -> Waiter | None:
+    def find_least_important(self) -> Waiter | None:
         """Returns the waiter to shed first: the last to be served."""
         return max(self.all(), key=_order_of, default=None)
 
--- a/src/ridgesill/core/serving/admission.py
+++ b/src/ridgesill/core/serving/admission.py
@@ -30,13 +30,13 @@
         self._mean = 0.0
         self._noted_at = float("-inf")
 
-    def note_first(self, seconds: float, now: float) -> None:
+    def record_first_event(self, seconds: float, now: float) -> None:
         """Notes how long an engine took for a first event."""
         before = self._mean if now - self._noted_at < _FADE_SECONDS else 0.0
         self._mean = before + _SMOOTHING * (seconds - before)
         self._noted_at = now
 
-    def share_refused(self, load: float, goal: float, now: float) -> float:
+    def refused_share(self, load: float, goal: float, now: float) -> float:
         """Returns which share of new requests should be refused.
 
         Args:
--- a/src/ridgesill/core/serving/answered.py
+++ b/src/ridgesill/core/serving/answered.py
@@ -12,14 +12,14 @@
 _KEPT_MOST = 1024
 
 
-class Answered:
+class RecentAnswers:
     """The requests that a front has had answered lately."""
 
     def __init__(self) -> None:
         # The oldest first.
         self._answered_at: dict[int, float] = {}
 
-    def note(self, key: int, now: float) -> None:
+    def record(self, key: int, now: float) -> None:
         """Notes a whole answer to a request, by the hash of what it says.
 
         This process's own hash will do, and costs less than one that others
@@ -30,7 +30,7 @@
         if len(self._answered_at) > _KEPT_MOST:
             del self._answered_at[next(iter(self._answered_at))]
 
-    def knows(self, key: int, now: float) -> bool:
+    def is_answered(self, key: int, now: float) -> bool:
         """Whether a request was answered a moment ago."""
         at = self._answered_at.get(key)
         return at is not None and now - at <= _KEPT_SECONDS
--- a/src/ridgesill/core/serving/callers.py
+++ b/src/ridgesill/core/serving/callers.py
@@ -16,7 +16,7 @@
 
 
 @attrs.frozen
-class Knowledge:
+class ConfigurationFreshness:
     """How sure a front is that its configuration is in force.
 
     Attributes:
@@ -26,7 +26,7 @@
     """
 
     age: float
-    age_most: float = float("inf")
+    max_age: float = float("inf")
 
     @property
     def is_missing(self) -> bool:
@@ -36,19 +36,19 @@
     @property
     def is_stale(self) -> bool:
         """Whether no key can be relied on."""
-        return self.age >= self.age_most
+        return self.age >= self.max_age
 
     @property
     def is_certain(self) -> bool:
         """Whether a key that isn't known here surely isn't in force."""
-        return self.age < min(_CERTAIN_SECONDS, self.age_most)
+        return self.age < min(_CERTAIN_SECONDS, self.max_age)
 
 
 def check_caller(
     route: Route,
     customers: Customers | None,
     digest: bytes,
-    knowledge: Knowledge,
+    knowledge: ConfigurationFreshness,
 ) -> Result[Customer | None, str]:
     """Returns whose request it is, or why it can't be served.
 
--- a/src/ridgesill/core/serving/choice.py
+++ b/src/ridgesill/core/serving/choice.py
@@ -48,7 +48,7 @@
 
 
 @attrs.frozen
-class Wanted:
+class Requirements:
     """What a request needs.
 
     Attributes:
@@ -90,12 +90,12 @@
 
     # -- requests in progress ------------------------------------------
 
-    def begin(self, upstream: str, artifact: str) -> None:
+    def record_start(self, upstream: str, artifact: str) -> None:
         """Counts a request that goes to an upstream."""
         using = self._own.setdefault(upstream, {})
         using[artifact] = using.get(artifact, 0) + 1
 
-    def end(self, upstream: str, artifact: str) -> None:
+    def record_end(self, upstream: str, artifact: str) -> None:
         """Counts a request that has ended there."""
         using = self._own.get(upstream, {})
         left = using.get(artifact, 0) - 1
@@ -106,12 +106,12 @@
         if not using:
             self._own.pop(upstream, None)
 
-    def tell_busy(self) -> dict[str, dict[str, int]]:
+    def report_busy(self) -> dict[str, dict[str, int]]:
         """Returns this front's requests in progress, to be told the owner."""
         self._told = {name: sum(u.values()) for name, u in self._own.items()}
         return {name: dict(using) for name, using in self._own.items()}
 
-    def busy(self, upstream: str) -> int:
+    def count_busy(self, upstream: str) -> int:
         """Returns the requests in progress at an upstream, as far as known."""
         return self._busy_of_others(upstream) + self._busy_here(upstream)
 
@@ -119,7 +119,7 @@
         told = self._told.get(upstream, 0)
         return max(self.view.busy.get(upstream, 0) - told, 0)
 
-    def note_news(self, now: float) -> None:
+    def update_means(self, now: float) -> None:
         """Takes counts that others have told into their means."""
         share = 1.0 - math.exp((self._means_at - now) / _MEAN_SECONDS)
         self._means_at = now
@@ -142,12 +142,12 @@
         """Returns requests in progress for each place of a service."""
         upstreams = self.view.of_service(service)
         slots = sum(upstream.slots for upstream in upstreams)
-        busy = sum(self.busy(upstream.name) for upstream in upstreams)
+        busy = sum(self.count_busy(upstream.name) for upstream in upstreams)
         return busy / slots if slots else 0.0
 
     # -- choice --------------------------------------------------------
 
-    def candidates(self, wanted: Wanted) -> list[Upstream]:
+    def candidates(self, wanted: Requirements) -> list[Upstream]:
         """Returns the upstreams that could serve a request now."""
         if wanted.artifact:
             return self.view.holders(
@@ -157,7 +157,7 @@
 
     def choose(
         self,
-        wanted: Wanted,
+        wanted: Requirements,
         avoid: Collection[str],
         now: float,
         draws: LimitDraws | None = None,
@@ -174,11 +174,13 @@
             upstream
             for upstream in self.candidates(wanted)
             if upstream.name not in avoid
-            and self.unavailable.takes_requests(upstream.name, now)
+            and self.unavailable.accepts_requests(upstream.name, now)
         ]
         allowed = self._without_ejected(wanted, candidates, now)
         if draws is not None:
-            allowed = draws.narrow(allowed, now, prefers_limited=not avoid)
+            allowed = draws.filter_allowed(
+                allowed, now, prefers_limited=not avoid
+            )
         if not wanted.artifact:
             allowed = self._near_with_room(allowed)
         return min(
@@ -200,7 +202,7 @@
         return near if self._rng.random() < room else candidates
 
     def _without_ejected(
-        self, wanted: Wanted, candidates: list[Upstream], now: float
+        self, wanted: Requirements, candidates: list[Upstream], now: float
     ) -> list[Upstream]:
         """Leaves out ejected upstreams, but never over half of a service."""
         everyone = self.view.of_service(wanted.service)
@@ -213,7 +215,9 @@
         out = {u.name for u in ejected[: len(everyone) // 2]}
         return [u for u in candidates if u.name not in out]
 
-    def _cost(self, wanted: Wanted, upstream: Upstream, now: float) -> float:
+    def _cost(
+        self, wanted: Requirements, upstream: Upstream, now: float
+    ) -> float:
         """Ranks upstreams; the lowest is the best."""
         if wanted.artifact:
             others = float(self._busy_of_others(upstream.name))
@@ -230,24 +234,24 @@
         cost += _FAILING * max(failing, 0.0)
         return cost
 
-    def out_of_use(self, service: str, now: float) -> list[str]:
+    def list_unusable(self, service: str, now: float) -> list[str]:
         """Returns the upstreams of a service that get no new requests now."""
         return [
             upstream.name
             for upstream in self.view.of_service(service)
             if self.outcomes.is_ejected(upstream.name, now)
-            or not self.unavailable.takes_requests(upstream.name, now)
+            or not self.unavailable.accepts_requests(upstream.name, now)
         ]
 
-    def takes_requests(self, upstream: str, now: float) -> bool:
+    def accepts_requests(self, upstream: str, now: float) -> bool:
         """Whether an upstream wants requests from here, by its own word."""
-        return self.unavailable.takes_requests(upstream, now)
+        return self.unavailable.accepts_requests(upstream, now)
 
-    def soonest_rest_end(self, service: str, now: float) -> float:
+    def seconds_until_available(self, service: str, now: float) -> float:
         """Returns the seconds until the first upstream that rests is back.
 
         Returns:
             0 when one of the service takes requests now, or none rests.
         """
         names = [upstream.name for upstream in self.view.of_service(service)]
-        return self.unavailable.soonest(names, now)
+        return self.unavailable.seconds_until_available(names, now)
--- a/src/ridgesill/core/serving/events.py
+++ b/src/ridgesill/core/serving/events.py
@@ -15,7 +15,7 @@
         self.last_id = last_id
         self._rest = b""
 
-    def take(self, data: bytes) -> bytes:
+    def feed(self, data: bytes) -> bytes:
         """Returns the whole events that are there now; keeps the rest."""
         buffered = self._rest + data
         end = max(_end_of_last(buffered, mark) for mark in _ENDS)
@@ -29,12 +29,12 @@
             if line.startswith(_ID):
                 self.last_id = line[len(_ID) :].strip().decode("latin-1")
 
-    def drop_rest(self) -> None:
+    def discard_partial(self) -> None:
         """Forgets an event that was cut off."""
         self._rest = b""
 
     @property
-    def rest(self) -> bytes:
+    def partial(self) -> bytes:
         """What is left of an event that has not ended."""
         return self._rest
 
--- a/src/ridgesill/core/serving/fingerprints.py
+++ b/src/ridgesill/core/serving/fingerprints.py
@@ -58,7 +58,7 @@
     return hash((method, host, target, body))
 
 
-class Fingerprints:
+class Fingerprinter:
     """Takes fingerprints.
 
     Args:
@@ -69,12 +69,12 @@
     def __init__(self, key: bytes = b"") -> None:
         self.key = key
 
-    def take_target(self, target: bytes) -> str:
+    def hash_target(self, target: bytes) -> str:
         """Returns the hash of path and query alone."""
         taken = hashlib.blake2b(target, key=self.key, digest_size=_TARGET_BYTES)
         return taken.hexdigest()
 
-    def take(self, identity: Identity) -> Fingerprint:
+    def compute(self, identity: Identity) -> Fingerprint:
         """Returns a request's fingerprint."""
         taken = hashlib.blake2b(key=self.key, digest_size=_WHOLE_BYTES)
         host = identity.host.encode()
@@ -84,5 +84,5 @@
             taken.update(part)
         content = taken.hexdigest()
         taken.update(identity.caller.encode())
-        target = self.take_target(identity.target)
+        target = self.hash_target(identity.target)
         return Fingerprint(target, content, taken.hexdigest())
--- a/src/ridgesill/core/serving/front_limits.py
+++ b/src/ridgesill/core/serving/front_limits.py
@@ -26,34 +26,36 @@
 
     def __init__(self, rng: random.Random, front: str = "") -> None:
         self.known = UpstreamLimits()
-        self.rates = FrontRates(rng, by_parts=True)
+        self.rates = FrontRates(rng, local_by_default=True)
         self._front = front
 
-    def note_word(
+    def record_limit(
         self, upstream: str, rate: float, sent_at: float, now: float
     ) -> bool:
         """Takes a limit that an upstream names; returns whether it is news."""
-        before = self.allowed(upstream, now)
-        self.known.note_word(upstream, rate, sent_at, now, self._front)
-        return self.allowed(upstream, now) != before
+        before = self.allowed_rate(upstream, now)
+        self.known.record_limit(upstream, rate, sent_at, now, self._front)
+        return self.allowed_rate(upstream, now) != before
 
-    def take_news(self, view: FleetView) -> None:
+    def apply_news(self, view: FleetView) -> None:
         """Takes what the owner says."""
         self.known.merge(view.limits, view.known_at)
-        self.rates.take_news(view.sends, view.fronts, view.known_at)
+        self.rates.apply_news(view.sends, view.fronts, view.known_at)
 
-    def untold(self, view: FleetView, now: float) -> dict[str, NamedLimit]:
+    def list_unreported(
+        self, view: FleetView, now: float
+    ) -> dict[str, NamedLimit]:
         """Returns the limits of which the owner knows less."""
         return {
             upstream: limit
-            for upstream, limit in self.known.tell(now).items()
+            for upstream, limit in self.known.report(now).items()
             if upstream not in view.limits
-            or self.known.has_later(
+            or self.known.has_newer(
                 upstream, view.limits[upstream], view.known_at
             )
         }
 
-    def allowed(self, upstream: str, now: float) -> float | None:
+    def allowed_rate(self, upstream: str, now: float) -> float | None:
         """Returns what an upstream may get a second; None for any number."""
         return self.known.rate(upstream, now) if self.known else None
 
@@ -61,9 +63,9 @@
         """Returns how many upstreams are limited."""
         return len(self.known)
 
-    def keep_only(self, upstreams: Collection[str], now: float) -> None:
+    def discard_except(self, upstreams: Collection[str], now: float) -> None:
         """Forgets upstreams that are gone, and limits that are over."""
-        self.known.keep_only(upstreams, now)
+        self.known.discard_except(upstreams, now)
 
 
 class LimitDraws:
@@ -83,14 +85,14 @@
         self._drawn: dict[str, bool] = {}
         self._sent: set[str] = set()
 
-    def is_open(self, upstream: str, now: float) -> bool:
+    def is_allowed(self, upstream: str, now: float) -> bool:
         """Whether the request may go to an upstream."""
         if not self._limits.known:
             return True
         drawn = self._drawn.get(upstream)
         if drawn is not None:
             return drawn
-        allowed = self._limits.allowed(upstream, now)
+        allowed = self._limits.allowed_rate(upstream, now)
         if allowed is None:
             return True
         quota = make_quota(allowed)
@@ -98,15 +100,15 @@
         self._drawn[upstream] = drawn
         return drawn
 
-    def closed(self) -> list[str]:
+    def list_denied(self) -> list[str]:
         """Returns the upstreams that the request may not go to."""
         return [name for name, is_open in self._drawn.items() if not is_open]
 
-    def is_drawn(self, upstream: str) -> bool:
+    def is_granted(self, upstream: str) -> bool:
         """Whether the request is one of those that a limit allows."""
         return self._drawn.get(upstream, False)
 
-    def narrow(
+    def filter_allowed(
         self, upstreams: list[Upstream], now: float, *, prefers_limited: bool
     ) -> list[Upstream]:
         """Returns the upstreams that the request may go to.
@@ -119,14 +121,14 @@
         """
         if not self._limits.known:
             return upstreams
-        allowed = [u for u in upstreams if self.is_open(u.name, now)]
-        limited = [u for u in allowed if self.is_drawn(u.name)]
-        others = [u for u in allowed if not self.is_drawn(u.name)]
+        allowed = [u for u in upstreams if self.is_allowed(u.name, now)]
+        limited = [u for u in allowed if self.is_granted(u.name)]
+        others = [u for u in allowed if not self.is_granted(u.name)]
         if prefers_limited:
             return limited or others
         return others or limited
 
-    def are_all_closed(self, upstreams: Iterable[Upstream], now: float) -> bool:
+    def are_all_denied(self, upstreams: Iterable[Upstream], now: float) -> bool:
         """Whether all of some upstreams are limited, and none is open.
 
         None is drawn for while one of them has no limit.
@@ -134,25 +136,25 @@
         if not self._limits.known:
             return False
         names = [upstream.name for upstream in upstreams]
-        if any(self._limits.allowed(n, now) is None for n in names):
+        if any(self._limits.allowed_rate(n, now) is None for n in names):
             return False
-        drawn = [self.is_open(name, now) for name in names]
+        drawn = [self.is_allowed(name, now) for name in names]
         return bool(names) and not any(drawn)
 
-    def note_sent(self, upstream: str, now: float) -> None:
+    def record_sent(self, upstream: str, now: float) -> None:
         """Counts the request as sent to an upstream."""
-        if self._limits.allowed(upstream, now) is not None:
+        if self._limits.allowed_rate(upstream, now) is not None:
             self._sent.add(upstream)
             self._limits.rates.spend(upstream, _ONE, now)
 
-    def note_not_sent(self, upstream: str, now: float) -> None:
+    def revert_sent(self, upstream: str, now: float) -> None:
         """Takes that back: nothing of it has reached the upstream."""
         if upstream in self._sent:
             self._sent.discard(upstream)
-            self._limits.rates.give_back(upstream, RateUse(_ONE, 0), now)
+            self._limits.rates.refund(upstream, RateUse(_ONE, 0), now)
 
     def release(self) -> None:
         """Gives back what was drawn and not used."""
         for upstream, is_open in self._drawn.items():
             if is_open and upstream not in self._sent:
-                self._limits.rates.give_part_back(upstream, _ONE)
+                self._limits.rates.refund_draw(upstream, _ONE)
--- a/src/ridgesill/core/serving/limits.py
+++ b/src/ridgesill/core/serving/limits.py
@@ -77,7 +77,7 @@
         """Returns how many limits are known."""
         return len(self._known)
 
-    def note_word(
+    def record_limit(
         self, upstream: str, rate: float, sent_at: float, now: float, by: str
     ) -> None:
         """Takes a limit that an upstream names.
@@ -98,7 +98,7 @@
         since = now if known is None or is_new else known.since
         self._known[upstream] = _Known(rate, by, since, now)
 
-    def note_silence(self, upstream: str, sent_at: float) -> None:
+    def record_unlimited(self, upstream: str, sent_at: float) -> None:
         """Takes a success in which an upstream names no limit."""
         known = self._known.get(upstream)
         if known is None or known.lifted_at is not None:
@@ -129,7 +129,7 @@
                 self._known[upstream] = other
         return is_changed
 
-    def tell(self, now: float) -> dict[str, NamedLimit]:
+    def report(self, now: float) -> dict[str, NamedLimit]:
         """Returns what is known, to be told another node."""
         return {
             upstream: NamedLimit(
@@ -161,7 +161,7 @@
                 rates[upstream] = rate
         return rates
 
-    def has_later(self, upstream: str, told: NamedLimit, at: float) -> bool:
+    def has_newer(self, upstream: str, told: NamedLimit, at: float) -> bool:
         """Whether a node that told a limit should hear what is known here."""
         known = self._known[upstream]
         said_at = at - told.said_ago
@@ -170,7 +170,7 @@
             return True
         return known.rate != told.rate and known.said_at > said_at
 
-    def keep_only(self, upstreams: Collection[str], now: float) -> None:
+    def discard_except(self, upstreams: Collection[str], now: float) -> None:
         """Forgets upstreams that are gone, and limits that are over."""
         for upstream in list(self._known):
             is_over = self.rate(upstream, now) is None
--- a/src/ridgesill/core/serving/outcomes.py
+++ b/src/ridgesill/core/serving/outcomes.py
@@ -37,12 +37,12 @@
     """
 
     failure_rate: float = 0.0
-    outcomes: int = 0
-    noted_at: float = 0.0
+    outcome_count: int = 0
+    updated_at: float = 0.0
     ejected_until: float = 0.0
     ejections: int = 0
-    waiting: int = 0
-    heard_at: float = 0.0
+    in_progress: int = 0
+    last_byte_at: float = 0.0
 
 
 class Outcomes:
@@ -51,26 +51,26 @@
     def __init__(self) -> None:
         self._health: dict[str, Health] = {}
 
-    def note_sent(self, upstream: str, now: float) -> None:
+    def record_sent(self, upstream: str, now: float) -> None:
         """Notes a request that goes to an upstream."""
-        health = self._health.setdefault(upstream, Health(noted_at=now))
-        if not health.waiting:
-            health.heard_at = now
-        health.waiting += 1
+        health = self._health.setdefault(upstream, Health(updated_at=now))
+        if not health.in_progress:
+            health.last_byte_at = now
+        health.in_progress += 1
 
-    def note_heard(self, upstream: str, now: float) -> None:
+    def record_byte(self, upstream: str, now: float) -> None:
         """Notes a part of an answer."""
         health = self._health.get(upstream)
         if health is not None:
-            health.heard_at = now
+            health.last_byte_at = now
 
-    def note_ended(self, upstream: str) -> None:
+    def record_end(self, upstream: str) -> None:
         """Notes that a request that was sent has ended, however it did."""
         health = self._health.get(upstream)
         if health is not None:
-            health.waiting = max(health.waiting - 1, 0)
+            health.in_progress = max(health.in_progress - 1, 0)
 
-    def note_success(self, upstream: str, now: float) -> None:
+    def record_success(self, upstream: str, now: float) -> None:
         """Notes an answer that was served."""
         health = self._health.get(upstream)
         if health is None:
@@ -79,14 +79,14 @@
         if health.failure_rate < _EJECT_ABOVE / 2:
             health.ejections = 0
 
-    def note_failure(
+    def record_failure(
         self, upstream: str, now: float, *, unreachable: bool = False
     ) -> bool:
         """Notes a failure; returns whether it ejects the upstream."""
-        health = self._health.setdefault(upstream, Health(noted_at=now))
+        health = self._health.setdefault(upstream, Health(updated_at=now))
         weight = _UNREACHABLE_WEIGHT if unreachable else _SMOOTHING
         self._mix(health, 1.0, weight, now)
-        enough = unreachable or health.outcomes >= _ENOUGH
+        enough = unreachable or health.outcome_count >= _ENOUGH
         if health.failure_rate < _EJECT_ABOVE or not enough:
             return False
         if now < health.ejected_until:
@@ -101,11 +101,11 @@
     ) -> None:
         rate = self._faded(health, now)
         health.failure_rate = rate + weight * (value - rate)
-        health.outcomes += 1
-        health.noted_at = now
+        health.outcome_count += 1
+        health.updated_at = now
 
     def _faded(self, health: Health, now: float) -> float:
-        halvings = (now - health.noted_at) / _FADE_SECONDS
+        halvings = (now - health.updated_at) / _FADE_SECONDS
         return health.failure_rate * 0.5**halvings
 
     def failure_rate(self, upstream: str, now: float) -> float:
@@ -118,10 +118,12 @@
         health = self._health.get(upstream)
         if health is None:
             return False
-        silent = health.waiting and now - health.heard_at > _SILENT_SECONDS
+        silent = (
+            health.in_progress and now - health.last_byte_at > _SILENT_SECONDS
+        )
         return bool(silent) or now < health.ejected_until
 
-    def keep_only(self, upstreams: set[str]) -> None:
+    def discard_except(self, upstreams: set[str]) -> None:
         """Forgets upstreams that are gone."""
         for name in list(self._health):
             if name not in upstreams:
--- a/src/ridgesill/core/serving/rates.py
+++ b/src/ridgesill/core/serving/rates.py
@@ -36,7 +36,7 @@
 _MIX_SHARE = 0.02
 # A share by which an owner that doesn't know yet how much is offered has fronts
 # go by their own parts.
-BY_OWN_PART = -1.0
+DECIDE_LOCALLY = -1.0
 
 
 @register
@@ -89,16 +89,16 @@
 
 
 @attrs.define
-class OwnPart:
+class LocalBucket:
     """A front's part of a rate while it has no news."""
 
     level: float
-    at: float
+    refilled_at: float
 
-    def take(self, cost: int, rate: float, most: float, now: float) -> bool:
+    def acquire(self, cost: int, rate: float, most: float, now: float) -> bool:
         """Spends a request's cost unless earlier ones have spent it all."""
-        self.level = min(self.level + rate * (now - self.at), most)
-        self.at = now
+        self.level = min(self.level + rate * (now - self.refilled_at), most)
+        self.refilled_at = now
         if self.level <= 0:
             return False
         self.level -= cost
@@ -144,18 +144,20 @@
             the rate through at once.
     """
 
-    def __init__(self, rng: random.Random, *, by_parts: bool = False) -> None:
+    def __init__(
+        self, rng: random.Random, *, local_by_default: bool = False
+    ) -> None:
         self._rng = rng
-        self._by_parts = by_parts
+        self._by_parts = local_by_default
         self._states: Mapping[str, RateState] = {}
-        self._fronts = _FRONTS_UNTOLD if by_parts else 1
+        self._fronts = _FRONTS_UNTOLD if local_by_default else 1
         self._told_at = float("-inf")
         self._uses: dict[str, RateUse] = {}
         self._used_since = float("inf")
-        self._parts: dict[str, OwnPart] = {}
+        self._parts: dict[str, LocalBucket] = {}
         self._mixes: dict[str, _Mix] = {}
 
-    def take_news(
+    def apply_news(
         self, states: Mapping[str, RateState], fronts: int, told_at: float
     ) -> None:
         """Takes what the owner says.
@@ -174,7 +176,7 @@
             if not self._goes_by_part(name, told_at):
                 del self._parts[name]
 
-    def note_fronts(self, fronts: int) -> None:
+    def update_front_count(self, fronts: int) -> None:
         """Takes how many fronts there are from an owner that knows no more."""
         self._fronts = max(fronts, 1)
 
@@ -222,8 +224,8 @@
         part = self._parts.get(name)
         if part is None:
             level = self._first_level(state, most)
-            part = self._parts[name] = OwnPart(level, now)
-        return part.take(cost, quota.rate / self._fronts, most, now)
+            part = self._parts[name] = LocalBucket(level, now)
+        return part.acquire(cost, quota.rate / self._fronts, most, now)
 
     def _goes_by_part(self, name: str, now: float) -> bool:
         """Whether this front keeps to its own part of a rate."""
@@ -232,7 +234,7 @@
         state = self._states.get(name)
         if state is None:
             return self._by_parts
-        return state.share == BY_OWN_PART
+        return state.share == DECIDE_LOCALLY
 
     def _first_level(self, state: RateState | None, most: float) -> float:
         if self._by_parts:
@@ -243,11 +245,11 @@
         """Counts a request that is sent."""
         self._add(name, RateUse(cost, 0), now)
 
-    def give_back(self, name: str, use: RateUse, now: float) -> None:
+    def refund(self, name: str, use: RateUse, now: float) -> None:
         """Takes back what was counted of a request that wasn't sent."""
         self._add(name, RateUse(-use.spent, -use.offered), now)
 
-    def give_part_back(self, name: str, cost: int) -> None:
+    def refund_draw(self, name: str, cost: int) -> None:
         """Takes back what a request that may pass, but isn't sent, drew."""
         part = self._parts.get(name)
         if part is not None:
@@ -258,7 +260,7 @@
         self._uses[name] = use if before is None else before.plus(use)
         self._used_since = min(self._used_since, now)
 
-    def describe(self, name: str, now: float) -> dict[str, object]:
+    def describe_decision(self, name: str, now: float) -> dict[str, object]:
         """Returns by whose word a request is let through, for the log."""
         state = self._states.get(name)
         age = now - self._told_at
@@ -269,11 +271,11 @@
             "news_age": round(min(age, 1e9), 3),
         }
 
-    def comes_back_after(self) -> float:
+    def retry_after_seconds(self) -> float:
         """Returns the seconds after which a refused caller may come back."""
         return _AFTER_SECONDS + self._rng.random() * _SPREAD_SECONDS
 
-    def take_uses(self) -> dict[str, RateUse]:
+    def collect_uses(self) -> dict[str, RateUse]:
         """Returns what was sent since the last call."""
         uses, self._uses = self._uses, {}
         self._used_since = float("inf")
--- a/src/ridgesill/core/serving/reading.py
+++ b/src/ridgesill/core/serving/reading.py
@@ -17,13 +17,13 @@
 _BESIDE_SECONDS = 0.015
 
 
-class ReadingRate:
+class PrefillRate:
     """Learns from answers."""
 
     def __init__(self) -> None:
         self._rate = _USUAL_RATE
 
-    def note(self, tokens: int, seconds: float) -> None:
+    def record(self, tokens: int, seconds: float) -> None:
         """Notes how long the first event of an answer took, in seconds."""
         reading = seconds - _BESIDE_SECONDS
         if tokens < _TELLING_TOKENS or reading <= 0:
@@ -32,6 +32,6 @@
         weight = _RISING if sample > self._rate else _FALLING
         self._rate += weight * (sample - self._rate)
 
-    def seconds(self, tokens: int) -> float:
+    def estimate_seconds(self, tokens: int) -> float:
         """Returns how long the first event of a prompt takes without a wait."""
         return tokens / self._rate + _BESIDE_SECONDS
--- a/src/ridgesill/core/serving/retries.py
+++ b/src/ridgesill/core/serving/retries.py
@@ -39,18 +39,18 @@
         self._bounds = bounds
         self._buckets: collections.deque[_Bucket] = collections.deque()
 
-    def note_request(self, now: float) -> None:
+    def record_request(self, now: float) -> None:
         """Counts a request of a client."""
         self._bucket(now).requests += 1
 
-    def take(self, now: float, fronts: int) -> bool:
+    def acquire(self, now: float, fronts: int) -> bool:
         """Spends a retry; False when this front's share is spent."""
-        if self.left(now, fronts) < 1.0:
+        if self.remaining(now, fronts) < 1.0:
             return False
         self._bucket(now).retries += 1
         return True
 
-    def left(self, now: float, fronts: int) -> float:
+    def remaining(self, now: float, fronts: int) -> float:
         """Returns how many retries this front may still make now."""
         self._forget(now)
         requests = sum(bucket.requests for bucket in self._buckets)
--- a/src/ridgesill/standin/emulator/quotas.py
+++ b/src/ridgesill/standin/emulator/quotas.py
@@ -40,10 +40,10 @@
     def admit(self, name: str, quota: Quota, cost: int, now: float) -> bool:
         """Returns whether a request may pass."""
 
-    def take_uses(self) -> dict[str, RateUse]:
+    def collect_uses(self) -> dict[str, RateUse]:
         """Returns what there is to report."""
 
-    def take_news(
+    def apply_news(
         self, states: Mapping[str, RateState], fronts: int, told_at: float
     ) -> None:
         """Takes what the owner says."""
@@ -277,7 +277,7 @@
             if front.is_silent(now):
                 return
             since = front.part.used_since
-            front.reports.add(Sent(front.part.take_uses(), {}, since))
+            front.reports.add(Sent(front.part.collect_uses(), {}, since))
             reports = front.reports.address(_OWNER, now)
             self._reports += 1
             self._at(now + self._plan.way_seconds, self._hearer(front, reports))
@@ -317,7 +317,7 @@
 
         def tell(now: float) -> None:
             if not front.is_silent(now):
-                front.part.take_news(states, len(self._fronts), told_at)
+                front.part.apply_news(states, len(self._fronts), told_at)
                 front.has_news = True
 
         return tell
--- a/src/ridgesill/standin/emulator/world.py
+++ b/src/ridgesill/standin/emulator/world.py
@@ -287,7 +287,7 @@
 
 
 def _usage(front: Front) -> UsageReport:
-    return UsageReport(front.take_used(), front.chooser.tell_busy())
+    return UsageReport(front.take_used(), front.chooser.report_busy())
 
 
 async def _take(owner: FleetOwner, sender: str, message: Any) -> Any:
--- a/testing/app/front_world.py
+++ b/testing/app/front_world.py
@@ -243,7 +243,7 @@
         )
         changes = (*known, UpstreamChange(name, record))
         view.take(FleetNews(1, view.number + 1, True, changes), 0.0)
-        self.front.limits.take_news(view)
+        self.front.limits.apply_news(view)
         return upstream
 
     async def open(self) -> "Client":
--- a/testing/app/test_forwarding.py
+++ b/testing/app/test_forwarding.py
@@ -309,7 +309,7 @@
         world.front.rng = NoChance()
         now = asyncio.get_running_loop().time()
         for _ in range(50):
-            world.front.admission("engine").note_first(5.0, now)
+            world.front.admission("engine").record_first_event(5.0, now)
         client = await world.open()
         answer = await client.ask("/stream/x", **STREAM)
         assert answer.status == status
@@ -717,10 +717,10 @@
         client = await world.open()
         asked = asyncio.create_task(client.ask("/safe/x", credential="k1"))
         await asyncio.sleep(0.05)
-        assert world.front.quotas.take_uses() == {}
+        assert world.front.quotas.collect_uses() == {}
         await world.add("u1", answer_ok)
         now = asyncio.get_running_loop().time()
-        world.front.quotas.take_news({"alice": RateState(0.0, 9.0)}, 1, now)
+        world.front.quotas.apply_news({"alice": RateState(0.0, 9.0)}, 1, now)
         world.front.learned.note()
         assert (await asked).status == 429
 
@@ -731,7 +731,7 @@
         upstream = await world.add("u1", answer_ok)
         now = asyncio.get_running_loop().time()
         states = {"alice": RateState(0.0, -9.0)}
-        world.front.quotas.take_news(states, 1, now)
+        world.front.quotas.apply_news(states, 1, now)
         answer = await (await world.open()).ask("/safe/x", credential="k1")
         assert (answer.status, upstream.calls) == (429, [])
         assert float(answer.headers["retry-after"]) >= 1.0
@@ -743,7 +743,7 @@
         await world.add("u1", answer_ok)
         client = await world.open()
         assert (await client.ask("/safe/x", credential="k1")).status == 200
-        assert not world.front.quotas.take_uses()
+        assert not world.front.quotas.collect_uses()
 
     async def test_a_retry_of_ours_is_counted_once(
         self, world: FrontWorld
@@ -754,7 +754,7 @@
         for _ in range(3):
             client = await world.open()
             assert (await client.ask("/safe/x", credential="k1")).status == 200
-        assert world.front.quotas.take_uses() == {"alice": RateUse(600, 600)}
+        assert world.front.quotas.collect_uses() == {"alice": RateUse(600, 600)}
 
     async def test_what_has_not_run_is_not_counted(
         self, world: FrontWorld
@@ -763,7 +763,7 @@
         await world.add("u1", refuse)
         client = await world.open()
         assert (await client.ask("/safe/x", credential="k1")).status == 503
-        assert world.front.quotas.take_uses() == {"alice": RateUse()}
+        assert world.front.quotas.collect_uses() == {"alice": RateUse()}
 
 
 class Ends(KeptTelemetry):
@@ -788,7 +788,7 @@
         await client.ask("/safe/x", credential="k1")
         states = {"alice": RateState(0.0, -9.0)}
         now = asyncio.get_running_loop().time()
-        world.front.quotas.take_news(states, 1, now)
+        world.front.quotas.apply_news(states, 1, now)
         await client.ask("/safe/x", credential="k1")
         told = [(end.customer, end.outcome, end.in_time) for end in ends.ends]
         assert told == [("alice", "served", True), ("alice", "refused", False)]
--- a/testing/app/test_quarantine.py
+++ b/testing/app/test_quarantine.py
@@ -20,7 +20,7 @@
 from ridgesill.core.fleet.messages import Upstream
 from ridgesill.core.log.messages import Entry
 from ridgesill.core.serving import answered
-from ridgesill.core.serving.fingerprints import Fingerprints, Identity
+from ridgesill.core.serving.fingerprints import Fingerprinter, Identity
 from ridgesill.core.state import State
 from testing.app.front_world import Call, FrontWorld, ScriptedUpstream
 
@@ -225,13 +225,13 @@
         self, fronts: Fronts, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         taken: list[Identity] = []
-        take = Fingerprints.take
+        take = Fingerprinter.compute
 
-        def note(self: Fingerprints, identity: Identity) -> Any:
+        def note(self: Fingerprinter, identity: Identity) -> Any:
             taken.append(identity)
             return take(self, identity)
 
-        monkeypatch.setattr(Fingerprints, "take", note)
+        monkeypatch.setattr(Fingerprinter, "take", note)
         assert fronts.first.find_suspect(HARMFUL) is None
         assert not taken
         await fronts.cut(fronts.first, 1, HARMFUL)
@@ -298,7 +298,7 @@
 
 class TestCommands:
     def test_a_cleared_request_is_told_by_its_whole(self) -> None:
-        taken = Fingerprints(b"key").take(HARMLESS)
+        taken = Fingerprinter(b"key").compute(HARMLESS)
         state = State()
         for index, name in enumerate(("i-1", "i-2"), start=1):
             noted = NoteUpstreamEnd(name, (taken,))
--- a/testing/app/test_upstream_limits.py
+++ b/testing/app/test_upstream_limits.py
@@ -46,7 +46,7 @@
 def tell_share(world: FrontWorld, share: float) -> None:
     """Has the owner say which share of requests may go to an upstream."""
     now = asyncio.get_running_loop().time()
-    world.front.limits.rates.take_news({"u1": RateState(share, 0.0)}, 1, now)
+    world.front.limits.rates.apply_news({"u1": RateState(share, 0.0)}, 1, now)
 
 
 class TestLimit:
@@ -189,4 +189,4 @@
         await world.add("u1", Naming(said))
         await (await world.open()).ask("/safe/x")
         now = asyncio.get_running_loop().time()
-        assert world.front.limits.allowed("u1", now) == kept
+        assert world.front.limits.allowed_rate("u1", now) == kept
--- a/testing/app/test_upstream_words.py
+++ b/testing/app/test_upstream_words.py
@@ -82,7 +82,7 @@
         for _ in range(3):
             await client.ask("/safe/x")
             await asyncio.sleep(0.15)
-        assert not world.front.chooser.out_of_use(
+        assert not world.front.chooser.list_unusable(
             "plain", asyncio.get_running_loop().time()
         )
 
@@ -229,9 +229,9 @@
         await client.ask("/unsafe/x", b"b")
         now = asyncio.get_running_loop().time()
         unavailable = world.front.chooser.unavailable
-        unavailable.keep_only((), now + 60.0)
+        unavailable.discard_except((), now + 60.0)
         assert unavailable.is_leaving("u1")
-        unavailable.keep_only((), now + 200.0)
+        unavailable.discard_except((), now + 200.0)
         assert not unavailable.is_leaving("u1")
 
     async def test_the_start_that_follows_is_used(
--- a/testing/core/fleet/test_limit_loads.py
+++ b/testing/core/fleet/test_limit_loads.py
@@ -23,7 +23,7 @@
 
 def emulate(plan: Plan, seed: int) -> QuotaEmulation:
     return QuotaEmulation(
-        plan, lambda rng: FrontRates(rng, by_parts=True), seed
+        plan, lambda rng: FrontRates(rng, local_by_default=True), seed
     )
 
 
--- a/testing/core/pool/test_owner.py
+++ b/testing/core/pool/test_owner.py
@@ -85,7 +85,7 @@
         elif isinstance(item, SendOrder):
             self.orders.append(item.order)
             if self.obeys:
-                self.owner.finish_order(item.order, "done", self.now)
+                self.owner.handle_order_result(item.order, "done", self.now)
 
     def admit(self, request: str, adapter: str = "a@1", **fields: Any) -> None:
         """Asks for admission."""
@@ -236,7 +236,7 @@
         bench = Bench()
         bench.runner(slots=1)
         bench.admit("q1", "a@1", node="gone")
-        bench.owner.lose_node("gone")
+        bench.owner.handle_lost_node("gone")
         bench.admit("q2", "b@1", node="n", patience=100.0)
         bench.now = 5.0
         bench.runner(slots=1, resident=("a@1",), active={"a@1": 1})
@@ -307,7 +307,7 @@
         bench.runner("r2")
         bench.admit("q1", patience=100.0)
         first = bench.orders[0]
-        bench.owner.finish_order(first, "failed", bench.now)
+        bench.owner.handle_order_result(first, "failed", bench.now)
         bench.settle()
         assert [o.runner for o in bench.orders] == ["r1", "r2"]
 
@@ -317,7 +317,9 @@
         bench.runner("r1")
         bench.admit("q1", patience=100.0)
         for _ in range(3):
-            bench.owner.finish_order(bench.orders[-1], "failed", bench.now)
+            bench.owner.handle_order_result(
+                bench.orders[-1], "failed", bench.now
+            )
             bench.settle()
             bench.now += 20.0
             bench.runner("r1")
@@ -436,7 +438,7 @@
         bench.admit("q1", "b@1", patience=100.0)
         unload = bench.orders[0]
         assert unload.action == "unload"
-        bench.owner.finish_order(unload, "unknown", 0.0)
+        bench.owner.handle_order_result(unload, "unknown", 0.0)
         bench.admit("q2", "a@1", patience=100.0)
         assert "q2" not in bench.granted
         bench.now = 3.0
--- a/testing/core/serving/test_callers.py
+++ b/testing/core/serving/test_callers.py
@@ -8,7 +8,7 @@
 from ridgesill.core.serving.callers import (
     STALE,
     UNKNOWN_KEY,
-    Knowledge,
+    ConfigurationFreshness,
     check_caller,
 )
 from ridgesill.core.serving.customers import (
@@ -21,7 +21,7 @@
 
 ALICE = Customer("alice")
 CUSTOMERS = Customers((ALICE,), {digest_key(b"k1"): ALICE})
-NOW_KNOWN = Knowledge(0.1, 4.5)
+NOW_KNOWN = ConfigurationFreshness(0.1, 4.5)
 
 
 def route(*, is_public: bool = False) -> Route:
@@ -41,7 +41,7 @@
         assert found == Err(UNKNOWN_KEY)
 
     def test_a_public_route_needs_none(self) -> None:
-        stale = Knowledge(9.0, 4.5)
+        stale = ConfigurationFreshness(9.0, 4.5)
         found = check_caller(route(is_public=True), CUSTOMERS, b"", stale)
         assert found == Ok(None)
 
@@ -60,18 +60,18 @@
 
 class TestStaleness:
     def test_a_key_may_have_been_taken_away_unheard(self) -> None:
-        stale = Knowledge(4.5, 4.5)
+        stale = ConfigurationFreshness(4.5, 4.5)
         found = check_caller(route(), CUSTOMERS, digest_key(b"k1"), stale)
         assert found == Err(STALE)
 
     def test_an_unknown_key_may_have_been_added_unheard(self) -> None:
         # Clients don't come back after a 401, so it must be certain.
-        behind = Knowledge(2.0, 4.5)
+        behind = ConfigurationFreshness(2.0, 4.5)
         found = check_caller(route(), CUSTOMERS, digest_key(b"k2"), behind)
         assert found == Err(STALE)
 
     def test_nothing_is_known_at_the_start(self) -> None:
-        assert Knowledge(float("inf"), 4.5).is_missing
+        assert ConfigurationFreshness(float("inf"), 4.5).is_missing
 
 
 class TestLabels:
--- a/testing/core/serving/test_decisions.py
+++ b/testing/core/serving/test_decisions.py
@@ -8,12 +8,12 @@
 from ridgesill.core.fleet.messages import DRAINING, FleetNews, Upstream
 from ridgesill.core.fleet.messages import UpstreamChange as Change
 from ridgesill.core.fleet.registry import FleetView
-from ridgesill.core.serving.choice import Chooser, Wanted
+from ridgesill.core.serving.choice import Chooser, Requirements
 from ridgesill.core.serving.events import EventSplitter
 from ridgesill.core.serving.outcomes import Outcomes
 from ridgesill.core.serving.retries import RetryBounds, ServiceRetries
 
-PLAIN = Wanted("s")
+PLAIN = Requirements("s")
 
 
 def upstream(name: str, data_centre: str = "a", **fields: object) -> Upstream:
@@ -34,19 +34,19 @@
     def test_fronts_share_what_is_allowed(self) -> None:
         retries = ServiceRetries(RetryBounds(0.2, 50.0, 10.0))
         for _ in range(100):
-            retries.note_request(1.0)
-        alone = retries.left(1.0, 1)
+            retries.record_request(1.0)
+        alone = retries.remaining(1.0, 1)
         assert alone <= 0.2 * 100 + 50
-        assert 0 < retries.left(1.0, 10) < alone
+        assert 0 < retries.remaining(1.0, 10) < alone
 
     def test_a_spent_budget_comes_back_with_the_window(self) -> None:
         retries = ServiceRetries(RetryBounds(0.2, 5.0, 10.0))
         spent = 0
-        while retries.take(1.0, 1):
+        while retries.acquire(1.0, 1):
             spent += 1
         assert 0 < spent <= 5
-        assert not retries.take(9.0, 1)
-        assert retries.take(12.0, 1)
+        assert not retries.acquire(9.0, 1)
+        assert retries.acquire(12.0, 1)
 
 
 class TestOutcomes:
@@ -55,27 +55,27 @@
     ) -> None:
         outcomes = Outcomes()
         for _ in range(5):
-            outcomes.note_failure("u1", 10.0)
+            outcomes.record_failure("u1", 10.0)
         assert outcomes.is_ejected("u1", 10.1)
         assert not outcomes.is_ejected("u1", 30.0)
 
     def test_one_that_can_not_be_reached_is_ejected_at_once(self) -> None:
         outcomes = Outcomes()
-        assert outcomes.note_failure("u1", 10.0, unreachable=True)
+        assert outcomes.record_failure("u1", 10.0, unreachable=True)
         assert outcomes.is_ejected("u1", 10.1)
 
     def test_one_that_says_nothing_while_requests_wait_is_out(self) -> None:
         outcomes = Outcomes()
-        outcomes.note_sent("u1", 10.0)
+        outcomes.record_sent("u1", 10.0)
         assert not outcomes.is_ejected("u1", 10.5)
         assert outcomes.is_ejected("u1", 11.5)
-        outcomes.note_heard("u1", 11.6)
+        outcomes.record_byte("u1", 11.6)
         assert not outcomes.is_ejected("u1", 11.7)
 
     def test_one_without_requests_may_be_silent(self) -> None:
         outcomes = Outcomes()
-        outcomes.note_sent("u1", 10.0)
-        outcomes.note_ended("u1")
+        outcomes.record_sent("u1", 10.0)
+        outcomes.record_end("u1")
         assert not outcomes.is_ejected("u1", 20.0)
 
 
@@ -84,7 +84,7 @@
         choice = chooser(upstream("u1", "b"), upstream("u2", "a"))
         assert choice.choose(PLAIN, (), 0.0).name == "u2"
         for _ in range(4):
-            choice.begin("u2", "")
+            choice.record_start("u2", "")
         assert choice.choose(PLAIN, (), 0.0).name == "u1"
 
     def test_counts_that_come_and_go_send_nothing_elsewhere(self) -> None:
@@ -103,7 +103,7 @@
                 for u in ("u1", "u2")
             }
             choice.view.busy = counts
-            choice.note_news(number * 0.2)
+            choice.update_means(number * 0.2)
             chosen = choice.choose(PLAIN, (), number * 0.2)
             elsewhere += chosen.name == "u2"
         assert elsewhere <= 0.05 * 300
@@ -117,7 +117,7 @@
         )
         for number in range(5):
             choice.view.busy = {"u1": 6, "u2": 1}
-            choice.note_news(100.0 + number * 0.2)
+            choice.update_means(100.0 + number * 0.2)
         assert choice.choose(PLAIN, (), 101.0).name == "u2"
 
     def test_many_fronts_fill_no_upstream_one_after_the_other(self) -> None:
@@ -146,7 +146,7 @@
             if step % 42 == 0:
                 for made in choosers:
                     made.view.busy = counts[-1]
-                    made.note_news(now)
+                    made.update_means(now)
             chosen = rng.choice(choosers).choose(PLAIN, (), now)
             work = rng.expovariate(1 / 0.045)
             # Beyond its places a call waits for those before it.
@@ -162,7 +162,7 @@
             attrs.evolve(near, slots=64), attrs.evolve(far, slots=64)
         )
         for _ in range(10):
-            choice.begin("u1", "")
+            choice.record_start("u1", "")
         assert choice.choose(PLAIN, (), 0.0).name == "u2"
 
     def test_one_that_leaves_gets_nothing(self) -> None:
@@ -173,14 +173,14 @@
         old = upstream("u1", resident={"m/a1": 1})
         new = upstream("u2", "b", resident={"m/a1": 2})
         choice = chooser(old, new)
-        wanted = Wanted("s", "m/a1", 2)
+        wanted = Requirements("s", "m/a1", 2)
         assert choice.choose(wanted, (), 0.0).name == "u2"
         assert choice.choose(wanted, ("u2",), 0.0) is None
 
     def test_ejection_never_takes_more_than_half(self) -> None:
         choice = chooser(upstream("u1"), upstream("u2"))
         for name in ("u1", "u2"):
-            choice.outcomes.note_failure(name, 0.0, unreachable=True)
+            choice.outcomes.record_failure(name, 0.0, unreachable=True)
         assert choice.choose(PLAIN, (), 0.1) is not None
 
     def test_what_other_fronts_told_counts_as_load(self) -> None:
@@ -192,15 +192,15 @@
 class TestEvents:
     def test_only_whole_events_pass(self) -> None:
         splitter = EventSplitter()
-        assert splitter.take(b"id: 1\ndata: x\n\nid: 2\nda") == (
+        assert splitter.feed(b"id: 1\ndata: x\n\nid: 2\nda") == (
             b"id: 1\ndata: x\n\n"
         )
         assert splitter.last_id == "1"
-        assert splitter.take(b"ta: y\n\n") == b"id: 2\ndata: y\n\n"
+        assert splitter.feed(b"ta: y\n\n") == b"id: 2\ndata: y\n\n"
         assert splitter.last_id == "2"
 
     def test_what_was_cut_off_is_forgotten(self) -> None:
         splitter = EventSplitter()
-        splitter.take(b"id: 1\n\nid: 2\nda")
-        splitter.drop_rest()
-        assert splitter.take(b"id: 2\ndata: y\n\n") == b"id: 2\ndata: y\n\n"
+        splitter.feed(b"id: 1\n\nid: 2\nda")
+        splitter.discard_partial()
+        assert splitter.feed(b"id: 2\ndata: y\n\n") == b"id: 2\ndata: y\n\n"
--- a/testing/core/serving/test_rank.py
+++ b/testing/core/serving/test_rank.py
@@ -3,7 +3,7 @@
 import pytest
 
 from ridgesill.core.serving.rank import rank_request
-from ridgesill.core.serving.reading import ReadingRate
+from ridgesill.core.serving.reading import PrefillRate
 
 
 class TestRank:
@@ -28,21 +28,21 @@
 
 class TestReadingRate:
     def test_it_follows_engines_of_another_speed(self) -> None:
-        rate = ReadingRate()
+        rate = PrefillRate()
         for number in range(600):
             # Every third waits behind another one.
             wait = 0.5 if number % 3 == 0 else 0.0
-            rate.note(8000, 8000 / 8000 + wait)
-        assert rate.seconds(8000) == pytest.approx(1.0, rel=0.15)
+            rate.record(8000, 8000 / 8000 + wait)
+        assert rate.estimate_seconds(8000) == pytest.approx(1.0, rel=0.15)
 
     def test_parts_that_were_kept_do_not_mislead_it(self) -> None:
-        rate = ReadingRate()
-        before = rate.seconds(9000)
-        rate.note(9000, 0.03)
-        assert rate.seconds(9000) > 0.85 * before
+        rate = PrefillRate()
+        before = rate.estimate_seconds(9000)
+        rate.record(9000, 0.03)
+        assert rate.estimate_seconds(9000) > 0.85 * before
 
     def test_short_prompts_say_nothing(self) -> None:
-        rate = ReadingRate()
-        before = rate.seconds(9000)
-        rate.note(300, 2.0)
-        assert rate.seconds(9000) == before
+        rate = PrefillRate()
+        before = rate.estimate_seconds(9000)
+        rate.record(300, 2.0)
+        assert rate.estimate_seconds(9000) == before
--- a/testing/core/serving/test_rates.py
+++ b/testing/core/serving/test_rates.py
@@ -17,7 +17,7 @@
 def make(**states: RateState) -> FrontRates:
     """Returns the part of a front that has just had news."""
     made = FrontRates(random.Random(1))
-    made.take_news(states, FRONTS, 0.0)
+    made.apply_news(states, FRONTS, 0.0)
     return made
 
 
@@ -63,7 +63,7 @@
     def test_what_passed_and_what_came_are_told_apart(self) -> None:
         part = make(c=RateState(0.0, -1.0))
         part.admit("c", QUOTA, 300, 0.1)
-        assert part.take_uses() == {"c": RateUse(0, 300)}
+        assert part.collect_uses() == {"c": RateUse(0, 300)}
 
     def test_a_request_without_tokens_counts_as_the_limit_says(self) -> None:
         assert QUOTA.cost(0) == 200
@@ -71,15 +71,15 @@
     def test_one_that_reached_no_upstream_is_taken_back(self) -> None:
         part = make()
         part.admit("c", QUOTA, 300, 0.1)
-        part.give_back("c", RateUse(300, 300), 0.2)
-        assert part.take_uses() == {"c": RateUse(0, 0)}
+        part.refund("c", RateUse(300, 300), 0.2)
+        assert part.collect_uses() == {"c": RateUse(0, 0)}
 
     def test_a_report_tells_since_when_it_counts(self) -> None:
         part = make()
         part.admit("c", QUOTA, 300, 0.1)
         part.admit("c", QUOTA, 300, 0.4)
         assert part.used_since == 0.1
-        part.take_uses()
+        part.collect_uses()
         assert part.used_since == float("inf")
 
 
@@ -99,5 +99,5 @@
     def test_news_end_it(self) -> None:
         part = make()
         count_passed(part, 50, 2.0)
-        part.take_news({}, FRONTS, 3.0)
+        part.apply_news({}, FRONTS, 3.0)
         assert count_passed(part, 50, 3.1) == 50
