--- a/src/ridgesill/app/front.py
+++ b/src/ridgesill/app/front.py
@@ -14,8 +14,8 @@
 from ridgesill.core.serving.callers import ConfigurationFreshness
 from ridgesill.core.serving.choice import Chooser
 from ridgesill.core.serving.front_limits import FrontLimits
+from ridgesill.core.serving.prefill_rate import PrefillRate
 from ridgesill.core.serving.rates import FrontRates
-from ridgesill.core.serving.reading import PrefillRate
 from ridgesill.core.serving.retries import RetryBounds, ServiceRetries
 from ridgesill.core.serving.routes import RouteTable
 from ridgesill.ports.dialect import Dialect
--- a/src/ridgesill/app/quarantine.py
+++ b/src/ridgesill/app/quarantine.py
@@ -18,12 +18,12 @@
     PutFingerprintKey,
 )
 from ridgesill.core.fleet.messages import Upstream
-from ridgesill.core.serving.answered import RecentAnswers
 from ridgesill.core.serving.fingerprints import (
     Fingerprint,
     Fingerprinter,
     Identity,
 )
+from ridgesill.core.serving.recent_answers import RecentAnswers
 from ridgesill.core.state import State
 from ridgesill.core.suspects import ENDS_LEAST, Suspects
 
--- a/src/ridgesill/core/serving/answered.py
+++ b/src/ridgesill/core/serving/recent_answers.py
@@ -7,9 +7,9 @@
 # How long an answer speaks for a request, in seconds: longer than upstreams
 # that end take to come back, and short enough that what ends upstreams of a new
 # version isn't taken for harmless.
-_KEPT_SECONDS = 10.0
+_RETENTION_SECONDS = 10.0
 # How many are kept; who sends fewer a second is known for the whole time.
-_KEPT_MOST = 1024
+_MAX_KEYS = 1024
 
 
 class RecentAnswers:
@@ -27,10 +27,10 @@
         """
         self._answered_at.pop(key, None)
         self._answered_at[key] = now
-        if len(self._answered_at) > _KEPT_MOST:
+        if len(self._answered_at) > _MAX_KEYS:
             del self._answered_at[next(iter(self._answered_at))]
 
     def is_answered(self, key: int, now: float) -> bool:
         """Whether a request was answered a moment ago."""
         at = self._answered_at.get(key)
-        return at is not None and now - at <= _KEPT_SECONDS
+        return at is not None and now - at <= _RETENTION_SECONDS
--- a/testing/app/test_quarantine.py
+++ b/testing/app/test_quarantine.py
@@ -19,7 +19,7 @@
 )
 from ridgesill.core.fleet.messages import Upstream
 from ridgesill.core.log.messages import Entry
-from ridgesill.core.serving import answered
+from ridgesill.core.serving import recent_answers
 from ridgesill.core.serving.fingerprints import Fingerprinter, Identity
 from ridgesill.core.state import State
 from testing.app.front_world import Call, FrontWorld, ScriptedUpstream
@@ -203,7 +203,7 @@
         self, fronts: Fronts, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         # It may end upstreams of a later version.
-        monkeypatch.setattr(answered, "_KEPT_SECONDS", 0.01)
+        monkeypatch.setattr(recent_answers, "_RETENTION_SECONDS", 0.01)
         fronts.first.note_answered(HARMFUL.local_hash())
         await asyncio.sleep(0.02)
         for number in (1, 2, 3):
@@ -231,7 +231,7 @@
             taken.append(identity)
             return take(self, identity)
 
-        monkeypatch.setattr(Fingerprinter, "take", note)
+        monkeypatch.setattr(Fingerprinter, "compute", note)
         assert fronts.first.find_suspect(HARMFUL) is None
         assert not taken
         await fronts.cut(fronts.first, 1, HARMFUL)
--- a/testing/core/serving/test_rank.py
+++ b/testing/core/serving/test_rank.py
@@ -2,8 +2,8 @@
 
 import pytest
 
+from ridgesill.core.serving.prefill_rate import PrefillRate
 from ridgesill.core.serving.rank import rank_request
-from ridgesill.core.serving.reading import PrefillRate
 
 
 class TestRank:
