--- a/src/ridgesill/app/front.py
+++ b/src/ridgesill/app/front.py
@@ -10,7 +10,7 @@
 from ridgesill.app.upstream_words import UpstreamWords
 from ridgesill.core.fleet.use_reports import Sent
 from ridgesill.core.freshness import Freshness
-from ridgesill.core.serving.admission import Admission
+from ridgesill.core.serving.admission import AdmissionControl
 from ridgesill.core.serving.callers import ConfigurationFreshness
 from ridgesill.core.serving.choice import Chooser
 from ridgesill.core.serving.front_limits import FrontLimits
@@ -72,7 +72,7 @@
         self._freshness = freshness or Freshness(float("inf"))
         self._revocation = revocation
         self._retries: dict[str, ServiceRetries] = {}
-        self._admissions: dict[str, Admission] = {}
+        self._admissions: dict[str, AdmissionControl] = {}
         self._readings: dict[str, PrefillRate] = {}
 
     def knowledge(self, now: float) -> ConfigurationFreshness:
@@ -88,9 +88,9 @@
             budget = self._retries[service] = ServiceRetries(self._bounds)
         return budget
 
-    def admission(self, service: str) -> Admission:
+    def admission(self, service: str) -> AdmissionControl:
         """Returns the measure of how long a service's engines take."""
-        return self._admissions.setdefault(service, Admission())
+        return self._admissions.setdefault(service, AdmissionControl())
 
     def reading(self, service: str) -> PrefillRate:
         """Returns the measure of how fast a service's engines read."""
--- a/src/ridgesill/core/serving/admission.py
+++ b/src/ridgesill/core/serving/admission.py
@@ -23,7 +23,7 @@
 _REFUSED_MOST = 0.5
 
 
-class Admission:
+class AdmissionControl:
     """A front's measure of how long engines of a service take to begin."""
 
     def __init__(self) -> None:
--- a/testing/core/serving/test_admission.py
+++ b/testing/core/serving/test_admission.py
@@ -1,11 +1,11 @@
 """Tests of what a front refuses when engines take too long to begin."""
 
-from ridgesill.core.serving.admission import Admission
+from ridgesill.core.serving.admission import AdmissionControl
 
 
-def admission(first: float) -> Admission:
+def admission(first: float) -> AdmissionControl:
     """Returns a measure after a second of first events that took so long."""
-    made = Admission()
+    made = AdmissionControl()
     for number in range(100):
         made.record_first_event(first, number / 100)
     return made
