--- a/src/ridgesill/app/news_relay.py
+++ b/src/ridgesill/app/news_relay.py
@@ -81,7 +81,7 @@
 
     def _take(self, news: FleetNews) -> None:
         self._news.apply_news(news)
-        self._limits.keep_only(self._view.upstreams, self._loop.time())
+        self._limits.discard_except(self._view.upstreams, self._loop.time())
         self._changed.note()
 
     def make_usage_report(self) -> UsageReport:
@@ -90,7 +90,7 @@
         self._usage.prune_silent(now)
         self._taken.prune_silent(now)
         used, self._used = self._used, {}
-        return self._usage.make_report(used, self._limits.tell(now), now)
+        return self._usage.make_report(used, self._limits.report(now), now)
 
     async def handle_watch(
         self, sender: str, question: WatchFleet
