--- a/bench/path.py
+++ b/bench/path.py
@@ -59,8 +59,8 @@
     for number in range(_PAIRS):
         model = f"adapter-{number % _ADAPTERS:06d}"
         through.append(_first_byte(pool, node.callers, model))
-        versioned = f"{model}@v{1 + number % _ADAPTERS % 7}"
-        direct.append(_first_byte(pool, runner, versioned))
+        versioned_name = f"{model}@v{1 + number % _ADAPTERS % 7}"
+        direct.append(_first_byte(pool, runner, versioned_name))
     skip = _ADAPTERS * 2
     return (
         percentile(through[skip:], 0.5) - percentile(direct[skip:], 0.5),
--- a/bench/storage.py
+++ b/bench/storage.py
@@ -14,7 +14,7 @@
 
 from ridgesill.adapters.file_log import FileLog
 from ridgesill.core.log.messages import Entry, HardState
-from ridgesill.core.log.replica import found_snapshot
+from ridgesill.core.log.replica import make_initial_snapshot
 
 _DELAYS = (0.0, 0.001, 0.005)
 _BATCHES = (1, 16, 64)
@@ -31,7 +31,7 @@
         os.fdatasync(number)
         time.sleep(delay)
 
-    FileLog(folder).found("a.0", found_snapshot(("a.0",), b""))
+    FileLog(folder).found("a.0", make_initial_snapshot(("a.0",), b""))
     log = FileLog(folder, sync=sync)
     log.load()
     return lambda entries: log.append(None, entries)
--- a/src/ridgesill/adapters/file_log.py
+++ b/src/ridgesill/adapters/file_log.py
@@ -18,12 +18,12 @@
 import attrs
 
 from ridgesill.core import codec
-from ridgesill.core.log.memory import place_entry
+from ridgesill.core.log.memory import append_truncating
 from ridgesill.core.log.messages import (
     Entry,
     HardState,
     Snapshot,
-    Stored,
+    StoredLog,
     Voters,
 )
 
@@ -88,7 +88,7 @@
         identity = f"{name}.{secrets.token_hex(4)}"
         self.found(identity, Snapshot(0, 0, Voters(()), b""))
 
-    def load(self) -> Stored:
+    def load(self) -> StoredLog:
         """Returns what the files hold and opens the log for appending."""
         snapshot = self._load_snapshot()
         hard_state = HardState()
@@ -97,10 +97,10 @@
             if isinstance(record.value, HardState):
                 hard_state = record.value
             else:
-                place_entry(entries, record.value)
+                append_truncating(entries, record.value)
         self._open_log()
         kept = tuple(e for e in entries if e.index > snapshot.index)
-        return Stored(hard_state, kept, snapshot)
+        return StoredLog(hard_state, kept, snapshot)
 
     def append(
         self, hard_state: HardState | None, entries: list[Entry]
--- a/src/ridgesill/app/control.py
+++ b/src/ridgesill/app/control.py
@@ -27,10 +27,10 @@
     ProposeReply,
 )
 from ridgesill.core.freshness import NEVER, Freshness
-from ridgesill.core.membership import Membership, Relay
+from ridgesill.core.membership import BeatRelay, Membership
 from ridgesill.core.rendezvous import rank
-from ridgesill.core.state import State, is_followed
-from ridgesill.core.voter_changes import decide_change, voter_name
+from ridgesill.core.state import State, is_needed_without_disk
+from ridgesill.core.voter_changes import decide_change, node_name_of
 from ridgesill.core.voter_choice import VoterChoice
 from ridgesill.ports.peers import PeerError, Peers
 
@@ -115,7 +115,7 @@
         self._loop = asyncio.get_running_loop()
         self._applied = ChangeSignal()
         self._membership = Membership(settings.patience, self._loop.time())
-        self._relay = Relay()
+        self._relay = BeatRelay()
         self._leading_term = 0
         self._watchers: list[Callable[[], None]] = []
         self._voter_choice = VoterChoice(node.name, node.data_centre)
@@ -141,14 +141,14 @@
         now = self._loop.time()
         if self.is_leader and self.driver:
             replica = self.driver.replica
-            if self.state.index >= replica.commit:
-                confirmed = replica.confirmed_at(now)
+            if self.state.index >= replica.commit_index:
+                confirmed = replica.quorum_confirmed_at(now)
                 self.freshness.as_of = max(self.freshness.as_of, confirmed)
         return self.freshness.is_valid(now)
 
     def beats(self) -> list[Beat]:
         """Returns the nodes that the leader counts as alive."""
-        return self._membership.beats(self._loop.time())
+        return self._membership.live_beats(self._loop.time())
 
     def leader_name(self) -> str:
         """Returns the node that leads, as far as is known; or empty."""
@@ -181,7 +181,7 @@
 
     def send_replica(self, identity: str, message: ReplicaMessage) -> None:
         """Sends a replica's message towards a voting identity."""
-        address = self.address_of(voter_name(identity))
+        address = self.address_of(node_name_of(identity))
         if address:
             self._peers.send(address, message)
 
@@ -211,11 +211,11 @@
             name = self._upstream(failures)
             address = self.address_of(name) if name else ""
             if address and await self._follow_once(address):
-                self._voter_choice.note_followed()
+                self._voter_choice.record_answer()
                 # A voter goes back to the leader at once.
                 failures = 0
             else:
-                self._voter_choice.note_failed(name, self._loop.time())
+                self._voter_choice.record_failure(name, self._loop.time())
                 failures += 1
                 await asyncio.sleep(_RETRY)
 
@@ -241,12 +241,12 @@
 
     def _known_leader(self) -> str:
         if self.driver and self.driver.replica.leader:
-            return voter_name(self.driver.replica.leader)
+            return node_name_of(self.driver.replica.leader)
         return "" if self.leader == self.node.name else self.leader
 
     async def _follow_once(self, address: str) -> bool:
         now = self._loop.time()
-        new, alive = self._relay.split(self._beats_to_tell(now), address)
+        new, alive = self._relay.split_new(self._beats_to_tell(now), address)
         request = Follow(self._beat(), self.settings.follow_wait, new, alive)
         try:
             reply = await self._peers.call(
@@ -254,7 +254,7 @@
             )
         except PeerError:
             return False
-        self._relay.confirm(new, reply.unknown)
+        self._relay.record_received(new, reply.unknown)
         self.leader = reply.leader
         await self._take(reply, asked_at=now)
         # A voter that is itself out of touch is no help; ask another.
@@ -267,7 +267,7 @@
         if self.driver is None or now < self._beats_told_at + pause:
             return ()
         self._beats_told_at = now
-        return self._membership.heard(now)
+        return self._membership.recent_beats(now)
 
     def _beat(self) -> Beat:
         return Beat(
@@ -302,7 +302,7 @@
                 self._followed = image
         for entry in reply.entries:
             self._followed.apply(entry)
-        self._followed.advance(reply.upto)
+        self._followed.skip_to(reply.upto)
         if self._followed.index > before:
             self.note_applied()
 
@@ -318,9 +318,9 @@
     async def handle_follow(self, request: Follow) -> FollowReply:
         """Answers a node that follows the log here."""
         now = self._loop.time()
-        self._membership.hear(request.beat, now)
-        self._membership.hear_relayed(request.heard, now)
-        unknown = self._membership.hear_alive(request.alive, now)
+        self._membership.record_beat(request.beat, now)
+        self._membership.record_relayed_beats(request.heard, now)
+        unknown = self._membership.record_alive(request.alive, now)
         deadline = now + request.wait
         while self.state.index <= request.beat.applied:
             left = deadline - self._loop.time()
@@ -337,7 +337,7 @@
         age = self.freshness.age(self._loop.time())
         if self.driver is None:
             return FollowReply(-NEVER, beat.applied, (), b"", self.leader)
-        leader = voter_name(self.driver.replica.leader) or self.leader
+        leader = node_name_of(self.driver.replica.leader) or self.leader
         if beat.node.voter:
             # A voter gets its entries from the leader; it needs the index.
             return FollowReply(age, self.state.index, (), b"", leader)
@@ -351,7 +351,7 @@
         entries = tuple(
             entry
             for entry in log.slice(beat.applied, upto)
-            if is_followed(entry.command)
+            if is_needed_without_disk(entry.command)
         )
         return FollowReply(age, upto, entries, b"", leader)
 
@@ -367,7 +367,7 @@
                 # Nobody could be heard meanwhile; without this a leader would
                 # remove all nodes before it reads what they have sent.
                 log_message("log:suspended", seconds=round(now - slept_from, 3))
-                self._membership.begin_anew(now)
+                self._membership.restart_silence_window(now)
             if self.is_leader and self.driver:
                 self.is_fresh()
                 await self._lead_once(self.driver)
@@ -379,14 +379,14 @@
             self._membership = Membership(self.settings.patience, now)
             self.leader = self.node.name
             log_message("log:leading", term=driver.replica.term)
-        self._membership.hear(self._beat(), now)
+        self._membership.record_beat(self._beat(), now)
         change = decide_change(
             driver.replica,
-            self._membership.beats(now),
+            self._membership.live_beats(now),
             now,
             self.settings.voters_most,
         )
-        wanted = self._membership.decide(driver.state, now)
+        wanted = self._membership.decide_commands(driver.state, now)
         if change is not None:
             wanted.append(change)
         for command in wanted:
@@ -438,8 +438,8 @@
         asked_at = self._loop.time()
         while self.driver is not None and self.is_leader:
             now = self._loop.time()
-            if self.driver.replica.confirmed_at(now) >= asked_at:
-                return Latest(self.driver.replica.commit)
+            if self.driver.replica.quorum_confirmed_at(now) >= asked_at:
+                return Latest(self.driver.replica.commit_index)
             if now - asked_at > timeout:
                 break
             await asyncio.sleep(_LATEST_POLL)
--- a/src/ridgesill/app/control_api.py
+++ b/src/ridgesill/app/control_api.py
@@ -177,7 +177,7 @@
 
     @_carry_out.register
     async def _(self, call: LiftQuarantineCall) -> CallReply:
-        if not self._control.state.suspects.has(call.request):
+        if not self._control.state.suspects.has_content(call.request):
             return CallReply(404, "nothing is held against such a request")
         command = LiftQuarantine(call.request)
         try:
--- a/src/ridgesill/app/control_process.py
+++ b/src/ridgesill/app/control_process.py
@@ -39,7 +39,7 @@
 from ridgesill.core.fleet.usage import UsageReport
 from ridgesill.core.following import AskLatest, Follow, Propose
 from ridgesill.core.log.messages import Timing
-from ridgesill.core.voter_changes import voter_name
+from ridgesill.core.voter_changes import node_name_of
 from ridgesill.platform.control_calls import PlatformControlCalls
 from ridgesill.platform.settings import METRICS_PATH, PlatformSettings
 from ridgesill.platform.upstreams import PlatformEngines
@@ -267,13 +267,13 @@
         last = last_owner(driver)
         voters = sorted(
             driver.replica.voters.voters,
-            key=lambda identity: (voter_name(identity) != last, identity),
+            key=lambda identity: (node_name_of(identity) != last, identity),
         )
         if self._node.voter not in voters:
             return
         turn = voters.index(self._node.voter)
         seconds = _FIRST_ELECTION_SECONDS + turn * _ELECTION_STEP_SECONDS
-        driver.replica.expect_election(self._loop.time(), seconds)
+        driver.replica.schedule_election(self._loop.time(), seconds)
 
     def _reload(self) -> None:
         log_message("control:reloaded")
--- a/src/ridgesill/app/exchange.py
+++ b/src/ridgesill/app/exchange.py
@@ -128,7 +128,7 @@
     # -- attempts ------------------------------------------------------
 
     def _attempt(self) -> Reply:
-        self._services.entry.retries.note_request()
+        self._services.entry.retries.record_request()
         avoid: tuple[str, ...] = ()
         for attempt in range(_ATTEMPTS):
             call = self._numbered(attempt)
@@ -160,7 +160,7 @@
             return False
         if not failure.not_run and not self._request.repeatable:
             return False
-        return failure.absent or self._services.entry.retries.take()
+        return failure.absent or self._services.entry.retries.acquire()
 
     def _send(self, admission: Admission) -> Result[Reply, RunnerFailure]:
         opened = self._services.runners.open(
--- a/src/ridgesill/app/fleet_owner.py
+++ b/src/ridgesill/app/fleet_owner.py
@@ -229,7 +229,7 @@
         if driver is None or not driver.is_leader:
             return False
         now = self._loop.time()
-        return now - driver.replica.confirmed_at(now) < _QUORUM_SECONDS
+        return now - driver.replica.quorum_confirmed_at(now) < _QUORUM_SECONDS
 
     async def run(self) -> None:
         """Takes and gives up ownership with the log's leadership."""
--- a/src/ridgesill/app/formation.py
+++ b/src/ridgesill/app/formation.py
@@ -16,7 +16,7 @@
 
 from ridgesill.adapters.file_log import FileLog
 from ridgesill.core.commands import Node
-from ridgesill.core.log.replica import found_snapshot
+from ridgesill.core.log.replica import make_initial_snapshot
 from ridgesill.core.state import State
 
 # How often the founder looks who has introduced itself, in seconds; all nodes
@@ -78,9 +78,9 @@
             await asyncio.sleep(_TICK)
         state = State()
         state.nodes = dict(self._heard)
-        state.advance(_FOUNDING_INDEX)
+        state.skip_to(_FOUNDING_INDEX)
         voters = tuple(sorted(node.voter for node in self._heard.values()))
-        snapshot = found_snapshot(voters, state.dump(), _FOUNDING_INDEX)
+        snapshot = make_initial_snapshot(voters, state.dump(), _FOUNDING_INDEX)
         self._storage.found(self.identity, snapshot)
         log_message("log:founded", identity=self.identity, voters=voters)
 
--- a/src/ridgesill/app/found.py
+++ b/src/ridgesill/app/found.py
@@ -4,7 +4,7 @@
 
 from ridgesill.adapters.file_log import FileLog
 from ridgesill.app.settings import Settings
-from ridgesill.core.log.replica import found_snapshot
+from ridgesill.core.log.replica import make_initial_snapshot
 
 _FIRST_GENERATION = "0"
 
@@ -23,5 +23,5 @@
     identity = first_identity(settings.name)
     voters = tuple(first_identity(name) for name in sorted(settings.seeds))
     storage = FileLog(Path(settings.data_folder))
-    storage.found(identity, found_snapshot(voters, b""))
+    storage.found(identity, make_initial_snapshot(voters, b""))
     return identity
--- a/src/ridgesill/app/log_driver.py
+++ b/src/ridgesill/app/log_driver.py
@@ -247,5 +247,5 @@
 
 def _restore(data: bytes, index: int) -> State:
     state = State.load(data) if data else State()
-    state.advance(index)
+    state.skip_to(index)
     return state
--- a/src/ridgesill/app/quarantine.py
+++ b/src/ridgesill/app/quarantine.py
@@ -25,7 +25,7 @@
     Identity,
 )
 from ridgesill.core.state import State
-from ridgesill.core.suspects import ENDS_LEAST, Suspects
+from ridgesill.core.suspects import MIN_ENDS_FOR_QUARANTINE, Suspects
 
 Propose = Callable[[Any, float], Awaitable[Any]]
 IsRefused = Callable[[str], Awaitable[bool]]
@@ -126,11 +126,11 @@
             for end in self._own
             if any(f.content == fingerprint.content for f in end.aboard)
         }
-        return own.union(self._suspects.ends(fingerprint))
+        return own.union(self._suspects.ended_upstreams(fingerprint))
 
     def is_quarantined(self, fingerprint: Fingerprint) -> bool:
         """Whether a request gets no upstream."""
-        return len(self.ends(fingerprint)) >= ENDS_LEAST
+        return len(self.ends(fingerprint)) >= MIN_ENDS_FOR_QUARANTINE
 
     def count(self) -> int:
         """Returns how many requests get no upstream."""
--- a/src/ridgesill/core/log/memory.py
+++ b/src/ridgesill/core/log/memory.py
@@ -5,7 +5,7 @@
 from ridgesill.core.log.messages import Entry, Snapshot
 
 
-def place_entry(entries: list[Entry], entry: Entry) -> None:
+def append_truncating(entries: list[Entry], entry: Entry) -> None:
     """Adds an entry to a list; one at an index already there cuts the tail."""
     while entries and entries[-1].index >= entry.index:
         entries.pop()
--- a/src/ridgesill/core/log/messages.py
+++ b/src/ridgesill/core/log/messages.py
@@ -126,7 +126,7 @@
 
 
 @attrs.frozen
-class Send:
+class OutgoingMessage:
     """An output: a message for another replica."""
 
     to: str
@@ -149,12 +149,12 @@
     snapshot: Snapshot | None = None
     hard_state: HardState | None = None
     entries: list[Entry] = attrs.Factory(list)
-    messages: list[Send] = attrs.Factory(list)
+    messages: list[OutgoingMessage] = attrs.Factory(list)
     committed: list[Entry] = attrs.Factory(list)
 
 
 @attrs.frozen
-class Stored:
+class StoredLog:
     """What a replica finds on its disk when it starts."""
 
     hard_state: HardState
--- a/src/ridgesill/core/log/replica.py
+++ b/src/ridgesill/core/log/replica.py
@@ -19,11 +19,11 @@
     AppendResponse,
     Entry,
     HardState,
+    OutgoingMessage,
     Output,
-    Send,
     Snapshot,
     SnapshotRequest,
-    Stored,
+    StoredLog,
     Timing,
     VoteRequest,
     VoteResponse,
@@ -78,7 +78,7 @@
     def __init__(
         self,
         identity: str,
-        stored: Stored,
+        stored: StoredLog,
         now: float,
         rng: random.Random,
         timing: Timing | None = None,
@@ -87,7 +87,7 @@
         self.role = FOLLOWER
         self.leader = ""
         self.term = stored.hard_state.term
-        self.commit = stored.snapshot.index
+        self.commit_index = stored.snapshot.index
         self.log = MemoryLog(stored.snapshot, stored.entries)
         self.progress: dict[str, Progress] = {}
         self.voted_for = stored.hard_state.voted_for
@@ -113,16 +113,16 @@
         return self._voters_at[-1][1]
 
     @property
-    def changing_voters(self) -> bool:
+    def has_pending_voter_change(self) -> bool:
         """Whether a change of voters is appended but not committed."""
-        return self._voters_at[-1][0] > self.commit
+        return self._voters_at[-1][0] > self.commit_index
 
     def take_output(self) -> Output:
         """Returns what has accumulated since the last call."""
         output, self._output = self._output, Output()
         return output
 
-    def confirmed_at(self, now: float) -> float:
+    def quorum_confirmed_at(self, now: float) -> float:
         """Returns until when this leader knows that it led a quorum.
 
         Everything committed by any leader before that time is at or below
@@ -131,7 +131,7 @@
         Returns:
             Seconds on this replica's clock; minus infinity if it can't say.
         """
-        if self.role != LEADER or self.log.term(self.commit) != self.term:
+        if self.role != LEADER or self.log.term(self.commit_index) != self.term:
             return _NEVER
         return self._quorum_acked_at(now)
 
@@ -160,7 +160,7 @@
         elif now >= self._election_at and self._is_voter():
             self._start_election(now, pre=True)
 
-    def expect_election(self, now: float, seconds: float) -> None:
+    def schedule_election(self, now: float, seconds: float) -> None:
         """Stands for election after some seconds unless a leader is heard.
 
         For a replica that has just started; pre-votes keep it from disturbing
@@ -353,9 +353,9 @@
         if not self._accept_leader(message, sender, now):
             return
         snapshot = message.snapshot
-        if snapshot.index > self.commit:
+        if snapshot.index > self.commit_index:
             self.log.compact(snapshot)
-            self.commit = snapshot.index
+            self.commit_index = snapshot.index
             self._output.snapshot = snapshot
             self._output.committed.clear()
             self._read_voters()
@@ -445,7 +445,7 @@
             previous,
             self.log.term(previous),
             entries,
-            self.commit,
+            self.commit_index,
             now,
         )
         # Entries are sent once; a refused heartbeat shows where they stopped.
@@ -467,7 +467,7 @@
             for voter in self.voters.voters
         ]
         index = _quorum_value(matches)
-        if self.log.term(index) == self.term and index > self.commit:
+        if self.log.term(index) == self.term and index > self.commit_index:
             self._commit_to(index)
             # Tells the followers at the next tick instead of the next
             # heartbeat: a change is in force that much sooner everywhere.
@@ -479,7 +479,7 @@
         return progress.match if progress else 0
 
     def _step_down_if_removed(self) -> None:
-        if not self._is_voter() and not self.changing_voters:
+        if not self._is_voter() and not self.has_pending_voter_change:
             # It votes no more, so it need not say until when it led.
             self.role = FOLLOWER
             self.leader = ""
@@ -498,8 +498,8 @@
     # -- voters --------------------------------------------------------
 
     def _may_change(self) -> bool:
-        in_own_term = self.log.term(self.commit) == self.term
-        return in_own_term and not self.changing_voters
+        in_own_term = self.log.term(self.commit_index) == self.term
+        return in_own_term and not self.has_pending_voter_change
 
     def _read_voters(self) -> None:
         snapshot = self.log.snapshot
@@ -542,16 +542,16 @@
         self._note_voters(entry)
 
     def _commit_to(self, index: int) -> None:
-        if index <= self.commit:
+        if index <= self.commit_index:
             return
-        self._output.committed.extend(self.log.slice(self.commit, index))
-        self.commit = index
+        self._output.committed.extend(self.log.slice(self.commit_index, index))
+        self.commit_index = index
 
     def _store_hard_state(self) -> None:
         self._output.hard_state = HardState(self.term, self.voted_for)
 
     def _send(self, to: str, message: Any) -> None:
-        self._output.messages.append(Send(to, message))
+        self._output.messages.append(OutgoingMessage(to, message))
 
 
 def _quorum_value(values: list[Any]) -> Any:
@@ -560,7 +560,7 @@
     return ranked[len(ranked) // 2]
 
 
-def found_snapshot(
+def make_initial_snapshot(
     voters: tuple[str, ...], data: bytes, index: int = 0
 ) -> Snapshot:
     """Returns the snapshot that a new log of these voters starts from.
--- a/src/ridgesill/core/membership.py
+++ b/src/ridgesill/core/membership.py
@@ -48,18 +48,20 @@
         self._since = now
         self._seen: dict[str, _Seen] = {}
 
-    def hear(self, beat: Beat, at: float) -> None:
+    def record_beat(self, beat: Beat, at: float) -> None:
         """Notes a beat heard at a time on this process's clock."""
         known = self._seen.get(beat.node.name)
         if known is None or at >= known.at:
             self._seen[beat.node.name] = _Seen(beat, at)
 
-    def hear_relayed(self, heard: Iterable[HeardBeat], now: float) -> None:
+    def record_relayed_beats(
+        self, heard: Iterable[HeardBeat], now: float
+    ) -> None:
         """Notes beats that another voter passes on."""
         for item in heard:
-            self.hear(item.beat, now - item.age)
+            self.record_beat(item.beat, now - item.age)
 
-    def hear_alive(
+    def record_alive(
         self, alive: Mapping[str, float], now: float
     ) -> tuple[str, ...]:
         """Notes nodes whose beats were passed on before and still hold.
@@ -73,14 +75,14 @@
             if known is None:
                 unknown.append(name)
             else:
-                self.hear(known.beat, max(known.at, now - age))
+                self.record_beat(known.beat, max(known.at, now - age))
         return tuple(unknown)
 
-    def begin_anew(self, now: float) -> None:
+    def restart_silence_window(self, now: float) -> None:
         """Takes silence until now for nothing."""
         self._since = now
 
-    def heard(self, now: float) -> tuple[HeardBeat, ...]:
+    def recent_beats(self, now: float) -> tuple[HeardBeat, ...]:
         """Returns the recent beats, to be passed on to the leader."""
         return tuple(
             HeardBeat(seen.beat, now - seen.at)
@@ -88,13 +90,13 @@
             if now - seen.at < self._patience
         )
 
-    def beats(self, now: float) -> list[Beat]:
+    def live_beats(self, now: float) -> list[Beat]:
         """Returns the beats of the nodes that count as alive."""
-        return [item.beat for item in self.heard(now)]
+        return [item.beat for item in self.recent_beats(now)]
 
-    def decide(self, state: State, now: float) -> list[Any]:
+    def decide_commands(self, state: State, now: float) -> list[Any]:
         """Returns the commands to propose now."""
-        alive = {beat.node.name: beat for beat in self.beats(now)}
+        alive = {beat.node.name: beat for beat in self.live_beats(now)}
         decided: list[Any] = self._join(state, alive)
         if now - self._since < self._patience:
             # Silence means nothing yet to a leader that has just started.
@@ -118,7 +120,7 @@
         ]
 
 
-class Relay:
+class BeatRelay:
     """What a voter has passed on to another, so that it does so once.
 
     Beats are some 220 bytes and change seldom. Passing on all of them each
@@ -130,7 +132,7 @@
         self._receiver = ""
         self._known: dict[str, Beat] = {}
 
-    def split(
+    def split_new(
         self, heard: Iterable[HeardBeat], receiver: str
     ) -> tuple[tuple[HeardBeat, ...], dict[str, float]]:
         """Returns the beats that a receiver lacks, and the others' ages."""
@@ -147,7 +149,7 @@
                 new.append(item)
         return tuple(new), alive
 
-    def confirm(
+    def record_received(
         self, sent: Iterable[HeardBeat], unknown: Iterable[str]
     ) -> None:
         """Notes that a receiver took what was sent, but lacks some beats."""
--- a/src/ridgesill/core/routing.py
+++ b/src/ridgesill/core/routing.py
@@ -50,11 +50,11 @@
     burst: float = 20.0
     _saved: float = 20.0
 
-    def note_request(self) -> None:
+    def record_request(self) -> None:
         """Earns a share of a retry."""
         self._saved = min(self._saved + self.share, self.burst)
 
-    def take(self) -> bool:
+    def acquire(self) -> bool:
         """Spends a retry; false when there is none left."""
         if self._saved < 1.0:
             return False
--- a/src/ridgesill/core/runners.py
+++ b/src/ridgesill/core/runners.py
@@ -62,6 +62,6 @@
 FENCE = "fence"
 
 
-def versioned(adapter: str, version: str) -> str:
+def versioned_name(adapter: str, version: str) -> str:
     """Returns the name under which a runner holds an adapter's version."""
     return f"{adapter}@{version}"
--- a/src/ridgesill/core/state.py
+++ b/src/ridgesill/core/state.py
@@ -38,7 +38,7 @@
 
 _OPERATIONS_KEPT = 1000
 _ONCE_KEPT = 50_000
-ONCE_LIFETIME = 24 * 3600.0
+ONCE_LIFETIME_SECONDS = 24 * 3600.0
 
 
 @codec.register
@@ -131,11 +131,11 @@
         self.index = entry.index
         return self._apply(codec.decode(entry.command))
 
-    def advance(self, index: int) -> None:
+    def skip_to(self, index: int) -> None:
         """Notes that entries up to an index hold nothing for this node."""
         self.index = max(self.index, index)
 
-    def begin_answer(self, command: Configure) -> ConfigureAnswer | None:
+    def find_earlier_answer(self, command: Configure) -> ConfigureAnswer | None:
         """Returns the kept first answer if this is a resend."""
         operation = self._operations.get(command.operation)
         if operation is not None and operation.digest == command.digest:
@@ -158,7 +158,7 @@
 
     @_apply.register
     def _(self, command: Configure) -> ConfigureAnswer:
-        known = self.begin_answer(command)
+        known = self.find_earlier_answer(command)
         if known is not None:
             return known
         if command.version == self.version and command.digest == self.digest:
@@ -212,7 +212,7 @@
 
     @_apply.register
     def _(self, command: NoteUpstreamEnd) -> Done:
-        self.suspects.note_end(command.upstream, command.aboard)
+        self.suspects.record_end(command.upstream, command.aboard)
         return Done(self.index)
 
     @_apply.register
@@ -305,7 +305,7 @@
     def _expire_once(self, at: float) -> None:
         while self.once:
             key, oldest = next(iter(self.once.items()))
-            if oldest.at >= at - ONCE_LIFETIME:
+            if oldest.at >= at - ONCE_LIFETIME_SECONDS:
                 return
             del self.once[key]
 
@@ -359,6 +359,6 @@
     return f"{team}\0{key}"
 
 
-def is_followed(command: bytes) -> bool:
+def is_needed_without_disk(command: bytes) -> bool:
     """Whether nodes without a disk need an encoded command."""
     return b"Once" not in command[:16]
--- a/src/ridgesill/core/suspects.py
+++ b/src/ridgesill/core/suspects.py
@@ -22,7 +22,7 @@
 # Ends, without an answer in between, from which a request is in quarantine.
 # With two, callers that come back at once, together with the cause, to the
 # same upstream would be shut out for good.
-ENDS_LEAST = 3
+MIN_ENDS_FOR_QUARANTINE = 3
 # How many are kept, so that nobody can fill the memory of all nodes: who is at
 # the limit forgets the oldest, and refuses nobody for it.
 _SUSPECTS_MOST = 2000
@@ -47,7 +47,7 @@
     @property
     def is_quarantined(self) -> bool:
         """Whether it gets no upstream."""
-        return len(self.ends) >= ENDS_LEAST
+        return len(self.ends) >= MIN_ENDS_FOR_QUARANTINE
 
 
 class Suspects:
@@ -65,7 +65,7 @@
     def __len__(self) -> int:
         return len(self._suspects)
 
-    def has(self, content: str) -> bool:
+    def has_content(self, content: str) -> bool:
         """Whether anything is held against a request, by its content."""
         return bool(self._of_content(content))
 
@@ -80,7 +80,7 @@
         """Whether a suspect has this hash of its path."""
         return target in self._targets
 
-    def ends(self, fingerprint: Fingerprint) -> tuple[str, ...]:
+    def ended_upstreams(self, fingerprint: Fingerprint) -> tuple[str, ...]:
         """Returns the upstreams that ended with a request aboard."""
         counted = map(self._ends, keys_of(fingerprint))
         return max(counted, key=len)
@@ -98,12 +98,12 @@
         }
         return list(by_content.values())
 
-    def note_end(self, upstream: str, aboard: Iterable[Fingerprint]) -> None:
+    def record_end(self, upstream: str, aboard: Iterable[Fingerprint]) -> None:
         """Counts the end of an upstream with each request aboard, once."""
         for fingerprint in aboard:
             for key in keys_of(fingerprint):
                 ends = self._ends(key)
-                if upstream not in ends and len(ends) < ENDS_LEAST:
+                if upstream not in ends and len(ends) < MIN_ENDS_FOR_QUARANTINE:
                     self._put(Suspect(key, fingerprint, (*ends, upstream)))
         self._forget_oldest()
 
--- a/src/ridgesill/core/targets.py
+++ b/src/ridgesill/core/targets.py
@@ -12,7 +12,7 @@
     Target,
 )
 from ridgesill.core.configuration import PLAIN, Table
-from ridgesill.core.runners import versioned
+from ridgesill.core.runners import versioned_name
 
 
 def find_target(call: Call, table: Table) -> Result[Target, Refusal]:
@@ -41,7 +41,7 @@
     return Ok(
         Target(
             adapter.service,
-            versioned(name, version),
+            versioned_name(name, version),
             adapter.team,
             places,
             weight,
--- a/src/ridgesill/core/voter_changes.py
+++ b/src/ridgesill/core/voter_changes.py
@@ -13,7 +13,7 @@
 _SILENT = 6.0
 
 
-def voter_name(identity: str) -> str:
+def node_name_of(identity: str) -> str:
     """Returns the node name of a voting identity (`name.generation`)."""
     return identity.rpartition(".")[0]
 
@@ -39,7 +39,7 @@
             another name takes the place of a voter that has long been silent,
             or waits. 0 for no limit.
     """
-    if replica.role != LEADER or replica.changing_voters:
+    if replica.role != LEADER or replica.has_pending_voter_change:
         return None
     learning = {beat.node.voter for beat in beats if beat.learner}
     voters = replica.voters
@@ -55,7 +55,7 @@
 def _next_step(
     replica: Replica, voters: Voters, identity: str
 ) -> Voters | None:
-    name = voter_name(identity)
+    name = node_name_of(identity)
     if identity not in voters.learners:
         others = _without(voters.learners, name)
         return Voters(voters.voters, (*others, identity))
@@ -86,7 +86,7 @@
 
 
 def _without(identities: tuple[str, ...], name: str) -> tuple[str, ...]:
-    return tuple(i for i in identities if voter_name(i) != name)
+    return tuple(i for i in identities if node_name_of(i) != name)
 
 
 def _caught_up(replica: Replica, identity: str) -> bool:
--- a/src/ridgesill/core/voter_choice.py
+++ b/src/ridgesill/core/voter_choice.py
@@ -30,14 +30,14 @@
         self._left_at: dict[str, float] = {}
         self._has_followed = False
 
-    def note_followed(self) -> None:
+    def record_answer(self) -> None:
         """Notes an answer of the voter that was chosen."""
         if not self._has_followed:
             # Those that failed before may not have had a log yet.
             self._has_followed = True
             self._left_at.clear()
 
-    def note_failed(self, voter: str, now: float) -> None:
+    def record_failure(self, voter: str, now: float) -> None:
         """Notes that a voter gave no answer, or is itself out of touch."""
         self._left_at[voter] = now
 
--- a/src/ridgesill/ports/storage.py
+++ b/src/ridgesill/ports/storage.py
@@ -2,7 +2,7 @@
 
 from typing import Protocol
 
-from ridgesill.core.log.messages import Entry, HardState, Snapshot, Stored
+from ridgesill.core.log.messages import Entry, HardState, Snapshot, StoredLog
 
 
 class Storage(Protocol):
@@ -10,7 +10,7 @@
 
     identity: str
 
-    def load(self) -> Stored:
+    def load(self) -> StoredLog:
         """Returns what was stored before."""
 
     def append(
--- a/src/ridgesill/standin/emulator/control.py
+++ b/src/ridgesill/standin/emulator/control.py
@@ -20,7 +20,7 @@
     term: int = 1
     predecessor_until: float = float("-inf")
 
-    def confirmed_at(self, now: float) -> float:
+    def quorum_confirmed_at(self, now: float) -> float:
         """Returns until when it surely leads: a quorum is always there."""
         return now
 
--- a/testing/app/control_world.py
+++ b/testing/app/control_world.py
@@ -13,9 +13,9 @@
 from ridgesill.app.pools import Pools
 from ridgesill.core.commands import Node
 from ridgesill.core.following import Follow, Propose
-from ridgesill.core.log.memory import place_entry
-from ridgesill.core.log.messages import Entry, HardState, Snapshot, Stored
-from ridgesill.core.log.replica import found_snapshot
+from ridgesill.core.log.memory import append_truncating
+from ridgesill.core.log.messages import Entry, HardState, Snapshot, StoredLog
+from ridgesill.core.log.replica import make_initial_snapshot
 from ridgesill.core.pool.messages import Digest
 from ridgesill.core.runners import Announcement, Order
 from testing.app.faulty_network import FaultyNetwork, FaultyPeers
@@ -36,9 +36,9 @@
     hard_state: HardState = HardState()
     entries: list[Entry] = attrs.Factory(list)
 
-    def load(self) -> Stored:
+    def load(self) -> StoredLog:
         """Returns what was stored."""
-        return Stored(self.hard_state, tuple(self.entries), self.snapshot)
+        return StoredLog(self.hard_state, tuple(self.entries), self.snapshot)
 
     def append(
         self, hard_state: HardState | None, entries: list[Entry]
@@ -46,7 +46,7 @@
         """Adds entries."""
         self.hard_state = hard_state or self.hard_state
         for entry in entries:
-            place_entry(self.entries, entry)
+            append_truncating(self.entries, entry)
 
     def replace(
         self,
@@ -105,7 +105,7 @@
         self._storages = {
             name: MemoryStorage(
                 f"{name}.0",
-                found_snapshot(tuple(f"{v}.0" for v in VOTERS), b""),
+                make_initial_snapshot(tuple(f"{v}.0" for v in VOTERS), b""),
             )
             for name in VOTERS
         }
--- a/testing/app/lone_node.py
+++ b/testing/app/lone_node.py
@@ -12,7 +12,7 @@
 from ridgesill.core import codec
 from ridgesill.core.commands import GrantPool, Node
 from ridgesill.core.log.messages import Entry, HardState
-from ridgesill.core.log.replica import found_snapshot
+from ridgesill.core.log.replica import make_initial_snapshot
 from ridgesill.platform.upstreams import PlatformEngines
 from testing.app.control_world import MemoryStorage, _run_inline
 
@@ -76,7 +76,9 @@
 
 def storage_of(owner: str) -> MemoryStorage:
     """Returns a disk whose log grants the fleet and its orders to a node."""
-    storage = MemoryStorage(f"{NAME}.a", found_snapshot((f"{NAME}.a",), b""))
+    storage = MemoryStorage(
+        f"{NAME}.a", make_initial_snapshot((f"{NAME}.a",), b"")
+    )
     if owner:
         command = codec.encode(GrantPool(FLEET, owner, "0"))
         lease = codec.encode(GrantPool(f"orders/{ENGINE}", owner, ""))
--- a/testing/app/order_world.py
+++ b/testing/app/order_world.py
@@ -17,7 +17,7 @@
 from ridgesill.core.fleet.orders import DeliverOrder, HolderAlive
 from ridgesill.core.following import Follow
 from ridgesill.core.log.messages import Timing
-from ridgesill.core.log.replica import found_snapshot
+from ridgesill.core.log.replica import make_initial_snapshot
 from ridgesill.platform.upstreams import PlatformEngines
 from ridgesill.ports.http import HttpRequest
 from ridgesill.ports.peers import PeerError
@@ -112,7 +112,7 @@
         self._storages = {
             name: MemoryStorage(
                 f"{name}.0",
-                found_snapshot(tuple(f"{v}.0" for v in VOTERS), b""),
+                make_initial_snapshot(tuple(f"{v}.0" for v in VOTERS), b""),
             )
             for name in VOTERS
         }
--- a/testing/app/test_entry.py
+++ b/testing/app/test_entry.py
@@ -24,7 +24,7 @@
     make_table,
 )
 from ridgesill.core.pool.messages import NO_RUNNER, Admit, Granted
-from testing.core.test_state import Log
+from testing.core.test_state import LocalLog
 
 pytestmark = pytest.mark.looptime
 
@@ -46,7 +46,7 @@
     """One pool in the replicated state, and an entry node that reads it."""
 
     def __init__(self) -> None:
-        self._log = Log()
+        self._log = LocalLog()
         table = make_table(
             [DataCentre("east", "coast")],
             [],
--- a/testing/app/test_fleet_owner.py
+++ b/testing/app/test_fleet_owner.py
@@ -252,7 +252,9 @@
         front = Node("10.0.0.9:70", "1", "10.0.0.9:70", "a")
         beat = Beat(front, 0, 0, False, ())
         for _ in range(6):
-            control._membership.hear(beat, asyncio.get_running_loop().time())
+            control._membership.record_beat(
+                beat, asyncio.get_running_loop().time()
+            )
             await asyncio.sleep(1.0)
         assert front.name in control.state.nodes
         await self._suspend(6.0)
--- a/testing/app/test_log_driver.py
+++ b/testing/app/test_log_driver.py
@@ -9,7 +9,7 @@
 from ridgesill.app.log_driver import LogDriver
 from ridgesill.core.commands import PutRoutes
 from ridgesill.core.log.messages import Entry, HardState
-from ridgesill.core.log.replica import found_snapshot
+from ridgesill.core.log.replica import make_initial_snapshot
 from testing.app.control_world import MemoryStorage, _run_inline
 
 pytestmark = pytest.mark.looptime
@@ -32,7 +32,7 @@
     async def test_nothing_is_acknowledged_until_the_disk_takes_it(
         self,
     ) -> None:
-        storage = FullStorage("a.0", found_snapshot(("a.0",), b""))
+        storage = FullStorage("a.0", make_initial_snapshot(("a.0",), b""))
         driver = LogDriver(
             storage,
             lambda _to, _message: None,
--- a/testing/core/log/cluster.py
+++ b/testing/core/log/cluster.py
@@ -12,12 +12,12 @@
 import attrs
 
 from ridgesill.core import codec
-from ridgesill.core.log.memory import place_entry
+from ridgesill.core.log.memory import append_truncating
 from ridgesill.core.log.messages import (
     Entry,
     HardState,
     Snapshot,
-    Stored,
+    StoredLog,
     Timing,
     Voters,
 )
@@ -26,7 +26,7 @@
     ChangeVoters,
     NoOp,
     Replica,
-    found_snapshot,
+    make_initial_snapshot,
 )
 
 _TICK = 0.05
@@ -51,11 +51,11 @@
     def append(self, entries: list[Entry]) -> None:
         """Adds entries; one at a stored index cuts the tail."""
         for entry in entries:
-            place_entry(self.entries, entry)
+            append_truncating(self.entries, entry)
 
-    def stored(self) -> Stored:
+    def stored(self) -> StoredLog:
         """Returns what a restart finds."""
-        return Stored(self.hard_state, tuple(self.entries), self.snapshot)
+        return StoredLog(self.hard_state, tuple(self.entries), self.snapshot)
 
 
 @attrs.define
@@ -102,7 +102,7 @@
         self._events: list[tuple[float, int, str, str, Any]] = []
         self._order = itertools.count()
         for name in names:
-            self.add(name, found_snapshot(names, b""))
+            self.add(name, make_initial_snapshot(names, b""))
 
     def add(self, name: str, snapshot: Snapshot | None = None) -> None:
         """Adds a replica with an empty disk."""
@@ -250,10 +250,10 @@
         """Has a replica replace its applied log by a snapshot."""
         member = self.members[name]
         replica = member.replica
-        if not member.up or replica.commit <= replica.log.snapshot.index:
+        if not member.up or replica.commit_index <= replica.log.snapshot.index:
             return
         data = codec.encode(Applied(tuple(member.applied)))
-        member.disk.snapshot = replica.compact(data, replica.commit)
+        member.disk.snapshot = replica.compact(data, replica.commit_index)
         log = replica.log
         member.disk.entries = list(
             log.slice(log.snapshot.index, log.last_index)
@@ -270,7 +270,7 @@
 
     def _check_predecessors(self, name: str, replica: Replica) -> None:
         """Checks until when a leader says that earlier ones may have led."""
-        self.led_until[replica.term] = replica.confirmed_at(self.now)
+        self.led_until[replica.term] = replica.quorum_confirmed_at(self.now)
         for term, led_until in self.led_until.items():
             if term < replica.term and led_until > replica.predecessor_until:
                 raise Violation(f"{name} leads while term {term} was confirmed")
--- a/testing/core/log/schedules.py
+++ b/testing/core/log/schedules.py
@@ -144,7 +144,7 @@
     def _caught_up(self, leader: str, name: str) -> bool:
         replica = self.cluster.members[leader].replica
         progress = replica.progress.get(name)
-        return bool(progress) and progress.match >= replica.commit
+        return bool(progress) and progress.match >= replica.commit_index
 
     def _heal(self) -> None:
         cluster = self.cluster
--- a/testing/core/log/test_replica.py
+++ b/testing/core/log/test_replica.py
@@ -10,7 +10,7 @@
     AppendResponse,
     Entry,
     HardState,
-    Stored,
+    StoredLog,
     Timing,
     VoteRequest,
     VoteResponse,
@@ -21,7 +21,7 @@
     ChangeVoters,
     NoOp,
     Replica,
-    found_snapshot,
+    make_initial_snapshot,
 )
 from testing.core.log.cluster import Cluster, Faults, Violation, Write
 from testing.core.log.schedules import Schedule
@@ -83,7 +83,7 @@
         cluster.crash(first)
         cluster.run(0.8)
         cluster.restart(first)
-        cluster.members[first].replica.expect_election(cluster.now, 0.15)
+        cluster.members[first].replica.schedule_election(cluster.now, 0.15)
         cluster.run(0.35)
         assert cluster.leader() == first
 
@@ -163,7 +163,7 @@
         for _ in range(20):
             cluster.propose(cluster.leader(), Write("x"))
             cluster.run(heartbeat * 0.6)
-            commits = {m.replica.commit for m in cluster.members.values()}
+            commits = {m.replica.commit_index for m in cluster.members.values()}
             assert len(commits) == 1
 
     def test_a_follower_refuses_a_proposal(self) -> None:
@@ -197,7 +197,7 @@
     def test_it_follows_the_clock_while_a_quorum_answers(self) -> None:
         cluster = calm_cluster()
         replica = cluster.members[cluster.leader()].replica
-        assert cluster.now - replica.confirmed_at(cluster.now) < 0.5
+        assert cluster.now - replica.quorum_confirmed_at(cluster.now) < 0.5
 
     def test_it_stands_still_without_a_quorum(self) -> None:
         cluster = calm_cluster()
@@ -206,13 +206,13 @@
         cluster.isolate(leader, inbound=True, outbound=True)
         cut_at = cluster.now
         cluster.run(1.0)
-        assert replica.confirmed_at(cluster.now) <= cut_at
+        assert replica.quorum_confirmed_at(cluster.now) <= cut_at
 
     def test_a_follower_confirms_nothing(self) -> None:
         cluster = calm_cluster()
         other = next(n for n in _NAMES if n != cluster.leader())
         replica = cluster.members[other].replica
-        assert replica.confirmed_at(cluster.now) == float("-inf")
+        assert replica.quorum_confirmed_at(cluster.now) == float("-inf")
 
 
 class TestChangeVoters:
@@ -253,7 +253,7 @@
     """Returns one of three replicas whose entries have these terms."""
     command = codec.encode(NoOp())
     entries = tuple(Entry(n, term, command) for n, term in enumerate(terms, 1))
-    stored = Stored(hard_state, entries, found_snapshot(_NAMES, b""))
+    stored = StoredLog(hard_state, entries, make_initial_snapshot(_NAMES, b""))
     return Replica(name, stored, 0.0, random.Random(1))
 
 
@@ -282,15 +282,15 @@
         replica.receive(VoteResponse(4, True, pre=False), "b.0", 10.2)
         assert (replica.role, replica.term) == (LEADER, 4)
         replica.receive(AppendResponse(4, True, 1, 10.2), "b.0", 10.3)
-        assert replica.commit == 0
+        assert replica.commit_index == 0
         replica.receive(AppendResponse(4, True, 2, 10.2), "b.0", 10.4)
-        assert replica.commit == 2
+        assert replica.commit_index == 2
 
     def test_a_follower_commits_only_what_matches(self) -> None:
         replica = lone_replica("a.0", HardState(1, ""), (1, 1, 1))
         heartbeat = AppendRequest(2, 1, 1, (), 3, 0.0)
         replica.receive(heartbeat, "b.0", 0.1)
-        assert replica.commit == 1
+        assert replica.commit_index == 1
 
 
 class TestSchedules:
--- a/testing/core/test_routing.py
+++ b/testing/core/test_routing.py
@@ -52,12 +52,12 @@
         budget = RetryBudget(share=0.2, burst=5.0)
         taken = 0
         for _ in range(1000):
-            budget.note_request()
-            taken += budget.take()
+            budget.record_request()
+            taken += budget.acquire()
         assert 200 <= taken <= 220
 
     def test_a_burst_is_bounded(self) -> None:
         budget = RetryBudget(share=0.2, burst=5.0)
         for _ in range(1000):
-            budget.note_request()
-        assert sum(budget.take() for _ in range(100)) == 5
+            budget.record_request()
+        assert sum(budget.acquire() for _ in range(100)) == 5
--- a/testing/core/test_state.py
+++ b/testing/core/test_state.py
@@ -29,10 +29,15 @@
     make_table,
 )
 from ridgesill.core.log.messages import Entry
-from ridgesill.core.state import ONCE_LIFETIME, State, is_followed, once_key
+from ridgesill.core.state import (
+    ONCE_LIFETIME_SECONDS,
+    State,
+    is_needed_without_disk,
+    once_key,
+)
 
 
-class Log:
+class LocalLog:
     """Applies commands one after another."""
 
     def __init__(self) -> None:
@@ -67,13 +72,13 @@
 
 class TestConfigure:
     def test_a_higher_version_is_accepted(self) -> None:
-        log = Log()
+        log = LocalLog()
         answer = log.apply(configure(1))
         assert answer.verdict == commands.ACCEPTED
         assert log.state.table.adapters["a"].versions == ("v1",)
 
     def test_of_two_with_equal_versions_one_wins(self) -> None:
-        log = Log()
+        log = LocalLog()
         first = log.apply(configure(1, digest="x"))
         second = log.apply(configure(1, digest="y"))
         assert first.verdict == commands.ACCEPTED
@@ -81,7 +86,7 @@
         assert (second.version, second.digest) == (1, "x")
 
     def test_a_resend_gets_the_first_answer(self) -> None:
-        log = Log()
+        log = LocalLog()
         command = configure(1)
         first = log.apply(command)
         log.apply(configure(2, base=1))
@@ -89,20 +94,20 @@
         assert log.state.version == 2
 
     def test_the_same_file_again_is_accepted_once(self) -> None:
-        log = Log()
+        log = LocalLog()
         first = log.apply(configure(1, operation="one"))
         second = log.apply(configure(1, operation="two"))
         assert second == first
 
     def test_another_base_is_a_conflict(self) -> None:
-        log = Log()
+        log = LocalLog()
         log.apply(configure(1))
         answer = log.apply(configure(3, base=0))
         assert answer.verdict == commands.CONFLICT
         assert log.state.version == 1
 
     def test_a_version_never_goes_back(self) -> None:
-        log = Log()
+        log = LocalLog()
         log.apply(configure(5))
         answer = log.apply(configure(4, base=5))
         assert answer.verdict == commands.CONFLICT
@@ -121,7 +126,7 @@
 
 class TestRoutes:
     def test_the_highest_version_holds(self) -> None:
-        log = Log()
+        log = LocalLog()
         log.apply(PutRoutes(5, b"five"))
         log.apply(PutRoutes(3, b"three"))
         log.apply(PutRoutes(5, b"other"))
@@ -133,13 +138,13 @@
         )
 
     def test_artifact_versions_never_fall(self) -> None:
-        log = Log()
+        log = LocalLog()
         log.apply(PutArtifactVersion("m/a1", 4))
         log.apply(PutArtifactVersion("m/a1", 2))
         assert log.state.artifact_versions == {"m/a1": 4}
 
     def test_a_snapshot_keeps_both(self) -> None:
-        log = Log()
+        log = LocalLog()
         log.apply(PutRoutes(5, b"five"))
         log.apply(PutArtifactVersion("m/a1", 4))
         loaded = State.load(log.state.dump())
@@ -149,25 +154,25 @@
 
 class TestOwners:
     def test_a_first_owner_need_not_wait(self) -> None:
-        log = Log()
+        log = LocalLog()
         log.apply(GrantPool("east/assist", "n1", "x"))
         assert log.state.owners["east/assist"].released
 
     def test_an_owner_after_a_lost_one_must_wait(self) -> None:
-        log = Log()
+        log = LocalLog()
         log.apply(GrantPool("east/assist", "n1", "x"))
         log.apply(GrantPool("east/assist", "n2", "y"))
         assert not log.state.owners["east/assist"].released
 
     def test_epochs_rise(self) -> None:
-        log = Log()
+        log = LocalLog()
         log.apply(GrantPool("east/assist", "n1", "x"))
         first = log.state.owners["east/assist"].epoch
         log.apply(GrantPool("east/assist", "n2", "y"))
         assert log.state.owners["east/assist"].epoch > first
 
     def test_an_owner_after_a_release_need_not_wait(self) -> None:
-        log = Log()
+        log = LocalLog()
         log.apply(GrantPool("east/assist", "n1", "x"))
         epoch = log.state.owners["east/assist"].epoch
         log.apply(ReleasePool("east/assist", epoch))
@@ -175,7 +180,7 @@
         assert log.state.owners["east/assist"].released
 
     def test_a_late_release_changes_nothing(self) -> None:
-        log = Log()
+        log = LocalLog()
         log.apply(GrantPool("east/assist", "n1", "x"))
         epoch = log.state.owners["east/assist"].epoch
         log.apply(GrantPool("east/assist", "n2", "y"))
@@ -191,7 +196,7 @@
         assert state.owners["east/assist"].node == "n2"
 
     def test_a_restarted_node_is_not_removed_by_its_past(self) -> None:
-        log = Log()
+        log = LocalLog()
         log.apply(JoinNode(NODE))
         log.apply(JoinNode(attrs.evolve(NODE, incarnation="y")))
         log.apply(RemoveNode("n1", "x"))
@@ -210,32 +215,32 @@
 
 class TestOnce:
     def test_a_key_begins_once(self) -> None:
-        log = Log()
+        log = LocalLog()
         assert log.apply(begin("r1")).begun
         answer = log.apply(begin("r2"))
         assert not answer.begun
         assert answer.record.outcome == commands.RUNNING
 
     def test_the_same_attempt_proposed_twice_is_still_begun(self) -> None:
-        log = Log()
+        log = LocalLog()
         log.apply(begin("r1"))
         assert log.apply(begin("r1")).begun
 
     def test_a_finished_one_answers_from_the_record(self) -> None:
-        log = Log()
+        log = LocalLog()
         log.apply(begin("r1"))
         log.apply(finish("r1", commands.COMPLETED))
         record = log.apply(begin("r2")).record
         assert (record.outcome, record.body) == (commands.COMPLETED, b"body")
 
     def test_one_that_did_not_run_frees_its_key(self) -> None:
-        log = Log()
+        log = LocalLog()
         log.apply(begin("r1"))
         log.apply(finish("r1", commands.NOT_RUN))
         assert log.apply(begin("r2")).begun
 
     def test_a_late_finish_of_another_attempt_changes_nothing(self) -> None:
-        log = Log()
+        log = LocalLog()
         log.apply(begin("r1"))
         log.apply(finish("r1", commands.NOT_RUN))
         log.apply(begin("r2"))
@@ -243,7 +248,7 @@
         assert not log.apply(begin("r3")).begun
 
     def test_a_lost_node_leaves_unknown(self) -> None:
-        log = Log()
+        log = LocalLog()
         log.apply(JoinNode(NODE))
         log.apply(begin("r1", node="x"))
         log.apply(RemoveNode("n1", "x"))
@@ -251,19 +256,19 @@
         assert record.outcome == commands.UNKNOWN
 
     def test_records_expire(self) -> None:
-        log = Log()
+        log = LocalLog()
         log.apply(begin("r1", at=0.0))
-        assert log.apply(begin("r2", at=ONCE_LIFETIME + 1)).begun
+        assert log.apply(begin("r2", at=ONCE_LIFETIME_SECONDS + 1)).begun
 
     def test_nodes_without_a_disk_do_not_follow_records(self) -> None:
-        assert not is_followed(codec.encode(begin("r1")))
-        assert not is_followed(codec.encode(finish("r1", "unknown")))
-        assert is_followed(codec.encode(configure(1)))
+        assert not is_needed_without_disk(codec.encode(begin("r1")))
+        assert not is_needed_without_disk(codec.encode(finish("r1", "unknown")))
+        assert is_needed_without_disk(codec.encode(configure(1)))
 
 
 class TestDump:
     def test_a_loaded_state_equals_the_dumped(self) -> None:
-        log = Log()
+        log = LocalLog()
         log.apply(configure(1))
         log.apply(JoinNode(NODE))
         log.apply(GrantPool("east/assist", "n1", "x"))
@@ -274,7 +279,7 @@
         assert once_key("crews", "k") in loaded.once
 
     def test_followers_get_it_without_records(self) -> None:
-        log = Log()
+        log = LocalLog()
         log.apply(begin("r1"))
         assert not State.load(log.state.dump(with_once=False)).once
 
--- a/testing/core/test_suspects_load.py
+++ b/testing/core/test_suspects_load.py
@@ -15,7 +15,7 @@
 import pytest
 
 from ridgesill.core.serving.fingerprints import Fingerprint
-from ridgesill.core.suspects import ENDS_LEAST, Suspects
+from ridgesill.core.suspects import MIN_ENDS_FOR_QUARANTINE, Suspects
 
 _ENGINES = 12
 _CRASHING = _ENGINES // 3
@@ -68,7 +68,10 @@
         return lambda: self._send(request)
 
     def _send(self, request: str) -> None:
-        if len(self.suspects.ends(_fingerprint(request))) >= ENDS_LEAST:
+        if (
+            len(self.suspects.ended_upstreams(_fingerprint(request)))
+            >= MIN_ENDS_FOR_QUARANTINE
+        ):
             self.refused.append(request)
             return
         engine = self.rng.choice([e for e in self._engines if e.is_up])
@@ -86,7 +89,7 @@
         if request is None:
             return
         fingerprint = _fingerprint(request)
-        if self.suspects.ends(fingerprint):
+        if self.suspects.ended_upstreams(fingerprint):
             self.suspects.clear([fingerprint])
         self._after(self.rng.uniform(0.0, 1.0), self._sender(request))
 
@@ -106,7 +109,7 @@
         engine.starts += 1
         name = f"{self._engines.index(engine)}#{engine.starts}"
         told = [_fingerprint(request) for request in cut]
-        self._after(_TOLD_AFTER, lambda: self.suspects.note_end(name, told))
+        self._after(_TOLD_AFTER, lambda: self.suspects.record_end(name, told))
         for request in cut:
             pause = self.rng.uniform(2.0, 4.0) if request == _HARMFUL else 0.0
             self._after(pause, self._sender(request))
@@ -126,4 +129,4 @@
         world = _World(seed)
         world.play()
         assert set(world.refused) == {_HARMFUL}
-        assert world.ends_of_harmful <= ENDS_LEAST
+        assert world.ends_of_harmful <= MIN_ENDS_FOR_QUARANTINE
--- a/testing/core/test_voter_changes.py
+++ b/testing/core/test_voter_changes.py
@@ -6,12 +6,12 @@
 
 from ridgesill.core.commands import Node
 from ridgesill.core.following import Beat
-from ridgesill.core.log.messages import AppendResponse, Stored, Voters
+from ridgesill.core.log.messages import AppendResponse, StoredLog, Voters
 from ridgesill.core.log.messages import HardState as State
 from ridgesill.core.log.replica import (
     ChangeVoters,
     Replica,
-    found_snapshot,
+    make_initial_snapshot,
 )
 from ridgesill.core.voter_changes import decide_change
 
@@ -29,9 +29,9 @@
     """A leader whose followers answer as a test says."""
 
     def __init__(self) -> None:
-        snapshot = found_snapshot(_VOTERS, b"", 1)
+        snapshot = make_initial_snapshot(_VOTERS, b"", 1)
         self.replica = Replica(
-            _VOTERS[0], Stored(State(), (), snapshot), 0.0, random.Random(1)
+            _VOTERS[0], StoredLog(State(), (), snapshot), 0.0, random.Random(1)
         )
         self.replica.term = 1
         self.replica._lead(0.0)
--- a/testing/core/test_voter_choice.py
+++ b/testing/core/test_voter_choice.py
@@ -32,24 +32,24 @@
     def test_one_that_failed_is_left_for_a_while(self) -> None:
         nodes = known(v1="b", v2="b", v3="a", v4="b")
         choice = VoterChoice("n1", "a")
-        choice.note_followed()
-        choice.note_failed("v3", 100.0)
+        choice.record_answer()
+        choice.record_failure("v3", 100.0)
         assert choice.choose(_VOTERS, nodes, 101.0) != "v3"
         assert choice.choose(_VOTERS, nodes, 109.0) != "v3"
         assert choice.choose(_VOTERS, nodes, 111.0) == "v3"
 
     def test_when_all_failed_the_first_that_did_is_tried(self) -> None:
         choice = VoterChoice("n1", "a")
-        choice.note_followed()
+        choice.record_answer()
         for number, voter in enumerate(_VOTERS):
-            choice.note_failed(voter, 100.0 + number)
+            choice.record_failure(voter, 100.0 + number)
         assert choice.choose(_VOTERS, {}, 104.0) == "v1"
 
     def test_failures_before_there_was_a_log_are_forgotten(self) -> None:
         nodes = known(v1="b", v2="b", v3="a", v4="b")
         choice = VoterChoice("n1", "a")
-        choice.note_failed("v3", 100.0)
-        choice.note_followed()
+        choice.record_failure("v3", 100.0)
+        choice.record_answer()
         assert choice.choose(_VOTERS, nodes, 100.5) == "v3"
 
     def test_without_voters_there_is_none(self) -> None:
--- a/testing/explorer/world.py
+++ b/testing/explorer/world.py
@@ -20,7 +20,7 @@
     WatchFleet,
 )
 from ridgesill.core.log.messages import Timing
-from ridgesill.core.log.replica import found_snapshot
+from ridgesill.core.log.replica import make_initial_snapshot
 from ridgesill.platform.upstreams import PlatformEngines, read_heartbeat
 from ridgesill.ports.http import ChannelError, HttpRequest
 from testing.app.control_world import MemoryStorage, _run_inline
@@ -126,7 +126,7 @@
         self._fates: collections.deque[float] = collections.deque()
         self._names = count
         self._storage = MemoryStorage(
-            f"{_NAME}.a", found_snapshot((f"{_NAME}.a",), b"")
+            f"{_NAME}.a", make_initial_snapshot((f"{_NAME}.a",), b"")
         )
         self._incarnation = 0
         self._tasks: list[asyncio.Task[Any]] = []
