--- a/src/ridgesill/app/administration.py
+++ b/src/ridgesill/app/administration.py
@@ -99,7 +99,7 @@
         )
 
     async def _catch_up(self, version: int) -> None:
-        await self._control.wait_version(version, _CATCH_UP_SECONDS)
+        await self._control.wait_for_version(version, _CATCH_UP_SECONDS)
 
     async def _show(self) -> Shown:
         state = self._control.state
@@ -118,7 +118,7 @@
         if not self._control.is_leader:
             return None
         state = self._control.state
-        versions = {b.node.name: b.version for b in self._control.beats()}
+        versions = {b.node.name: b.version for b in self._control.live_beats()}
         versions[self._control.node.name] = state.version
         return all(versions.get(name) == state.version for name in state.nodes)
 
@@ -134,7 +134,7 @@
             control.is_fresh(),
             state.version,
             state.index,
-            tuple(_node_report(beat) for beat in control.beats()),
+            tuple(_node_report(beat) for beat in control.live_beats()),
             tuple(
                 PoolReport(pool, owner.node, owner.epoch)
                 for pool, owner in sorted(state.owners.items())
--- a/src/ridgesill/app/control.py
+++ b/src/ridgesill/app/control.py
@@ -79,9 +79,9 @@
 
     seeds: dict[str, str]
     lease: float = 4.0
-    patience: float = 4.0
+    silence_timeout: float = 4.0
     follow_wait: float = 0.5
-    voters_most: int = 0
+    max_voters: int = 0
     names_are_addresses: bool = False
 
 
@@ -107,14 +107,16 @@
         self.freshness = Freshness(settings.lease)
         self.leader = ""
         self.draining = False
-        self.refusing = False
+        self.refusing_requests = False
         self.driver: LogDriver | None = None
         self._followed = State()
         self._peers = peers
         self._pools = pools
         self._loop = asyncio.get_running_loop()
         self._applied = ChangeSignal()
-        self._membership = Membership(settings.patience, self._loop.time())
+        self._membership = Membership(
+            settings.silence_timeout, self._loop.time()
+        )
         self._relay = Relay()
         self._leading_term = 0
         self._watchers: list[Callable[[], None]] = []
@@ -146,7 +148,7 @@
                 self.freshness.as_of = max(self.freshness.as_of, confirmed)
         return self.freshness.is_valid(now)
 
-    def beats(self) -> list[Beat]:
+    def live_beats(self) -> list[Beat]:
         """Returns the nodes that the leader counts as alive."""
         return self._membership.beats(self._loop.time())
 
@@ -161,7 +163,7 @@
         name = self.leader_name()
         return self.address_of(name) if name else ""
 
-    async def wait_version(self, version: int, timeout: float) -> None:
+    async def wait_for_version(self, version: int, timeout: float) -> None:
         """Waits until a configuration version, or a later one, is applied."""
         deadline = self._loop.time() + timeout
         while self.state.version < version:
@@ -169,17 +171,17 @@
             if left <= 0 or not await self._applied.within(left):
                 return
 
-    def watch(self, watcher: Callable[[], None]) -> None:
+    def add_listener(self, watcher: Callable[[], None]) -> None:
         """Has a function called whenever the state has changed."""
         self._watchers.append(watcher)
 
-    def note_applied(self) -> None:
+    def notify_applied(self) -> None:
         """Wakes everyone who waits for the state to change."""
         self._applied.note()
         for watcher in self._watchers:
             watcher()
 
-    def send_replica(self, identity: str, message: ReplicaMessage) -> None:
+    def send_to_replica(self, identity: str, message: ReplicaMessage) -> None:
         """Sends a replica's message towards a voting identity."""
         address = self.address_of(voter_name(identity))
         if address:
@@ -263,7 +265,7 @@
     def _beats_to_tell(self, now: float) -> tuple[HeardBeat, ...]:
         """Returns the beats heard here, when it is time to pass them on."""
         by_nodes = _BEATS_SECONDS_A_NODE * len(self.state.nodes)
-        pause = min(by_nodes, _BEATS_SHARE * self.settings.patience)
+        pause = min(by_nodes, _BEATS_SHARE * self.settings.silence_timeout)
         if self.driver is None or now < self._beats_told_at + pause:
             return ()
         self._beats_told_at = now
@@ -304,7 +306,7 @@
             self._followed.apply(entry)
         self._followed.advance(reply.upto)
         if self._followed.index > before:
-            self.note_applied()
+            self.notify_applied()
 
     async def _wait_applied(self, index: int) -> None:
         deadline = self._loop.time() + _APPLY_WAIT
@@ -376,7 +378,7 @@
         now = self._loop.time()
         if driver.replica.term != self._leading_term:
             self._leading_term = driver.replica.term
-            self._membership = Membership(self.settings.patience, now)
+            self._membership = Membership(self.settings.silence_timeout, now)
             self.leader = self.node.name
             log_message("log:leading", term=driver.replica.term)
         self._membership.hear(self._beat(), now)
@@ -384,7 +386,7 @@
             driver.replica,
             self._membership.beats(now),
             now,
-            self.settings.voters_most,
+            self.settings.max_voters,
         )
         wanted = self._membership.decide(driver.state, now)
         if change is not None:
--- a/src/ridgesill/app/control_api.py
+++ b/src/ridgesill/app/control_api.py
@@ -88,11 +88,11 @@
     @_carry_out.register
     async def _(self, call: HeartbeatCall) -> CallReply:
         service = call.heartbeat.service
-        if self._owner.is_foreign(service):
+        if self._owner.is_unknown_service(service):
             detail = f"service: no configuration names {service!r}"
             return await self._carry_out(BadCall(_BAD_REQUEST, detail))
         try:
-            await self._owner.hear(call.heartbeat)
+            await self._owner.submit_heartbeat(call.heartbeat)
         except NotOwnerError as error:
             return _unavailable("heartbeat", str(error))
         return CallReply(200, next_address=self._owner_address())
@@ -100,7 +100,9 @@
     @_carry_out.register
     async def _(self, call: LeaveCall) -> CallReply:
         try:
-            await self._owner.hear_leave(HeardLeave(call.instance, call.start))
+            await self._owner.submit_leave(
+                HeardLeave(call.instance, call.start)
+            )
         except NotOwnerError as error:
             return _unavailable("leave", str(error))
         return CallReply(200)
--- a/src/ridgesill/app/control_process.py
+++ b/src/ridgesill/app/control_process.py
@@ -105,7 +105,7 @@
                 settings.bounds.quota_slack,
             ),
         )
-        self.control.watch(self._note_state)
+        self.control.add_listener(self._note_state)
         api = ControlApi(
             self.control,
             self.owner,
@@ -133,14 +133,14 @@
     def _note_state(self) -> None:
         table = read_newer_table(self.control.state, self.owner.table)
         if table is not None:
-            self.owner.note_table(table)
+            self.owner.apply_table(table)
 
     # -- messages ------------------------------------------------------
 
     async def _handle(self, sender: str, message: Any) -> Any:
         if self.control.driver is None:
             if isinstance(message, Follow):
-                self._formation.hear(message.beat.node)
+                self._formation.record_node(message.beat.node)
             step = type(message).__name__
             raise PeerError(step, self._node.name, "no log is formed here yet")
         return await self._take(message, sender)
@@ -181,15 +181,15 @@
 
     @_take.register
     async def _(self, message: HeardHeartbeat, sender: str) -> Any:
-        return await self.owner.handle_passed(message)
+        return await self.owner.handle_forwarded(message)
 
     @_take.register
     async def _(self, message: HeardLeave, sender: str) -> Any:
-        return await self.owner.handle_passed(message)
+        return await self.owner.handle_forwarded(message)
 
     @_take.register
     async def _(self, message: HolderAlive, sender: str) -> None:
-        self.owner.hear_holder(message)
+        self.owner.handle_holder_alive(message)
 
     @_take.register
     async def _(self, message: DeliverOrder, sender: str) -> Any:
@@ -226,13 +226,13 @@
         await self._formation.form(self._node)
         driver = LogDriver(
             self._storage,
-            self.control.send_replica,
-            self.control.note_applied,
+            self.control.send_to_replica,
+            self.control.notify_applied,
             _TIMING,
         )
         self._hasten_election(driver)
         self.control.driver = driver
-        self.control.note_applied()
+        self.control.notify_applied()
         async with asyncio.TaskGroup() as group:
             group.create_task(driver.run())
             group.create_task(self.control.follow())
--- a/src/ridgesill/app/engine_loads.py
+++ b/src/ridgesill/app/engine_loads.py
@@ -34,7 +34,7 @@
 
 
 @attrs.frozen
-class LoadsView:
+class OwnerCallbacks:
     """What loading needs to know of its owner.
 
     Attributes:
@@ -50,16 +50,16 @@
         limited: whether an engine takes only so many requests.
     """
 
-    engines: Callable[[str], list[Engine]]
-    busy: Callable[[], dict[str, int]]
-    using: Callable[[str], set[str]]
-    heard_since: Callable[[float], bool]
-    version: Callable[[str], int]
-    tell: Callable[[Engine], None]
-    orders_from: Callable[[], float]
-    fronts: Callable[[], int] = lambda: 1
-    rests: Callable[[str], bool] = lambda _engine: False
-    limited: Callable[[str], bool] = lambda _engine: False
+    list_engines: Callable[[str], list[Engine]]
+    requests_in_progress: Callable[[], dict[str, int]]
+    artifacts_in_use: Callable[[str], set[str]]
+    have_fronts_reported_since: Callable[[float], bool]
+    min_version: Callable[[str], int]
+    publish_resident: Callable[[Engine], None]
+    orders_allowed_from: Callable[[], float]
+    count_fronts: Callable[[], int] = lambda: 1
+    is_resting: Callable[[str], bool] = lambda _engine: False
+    is_limited: Callable[[str], bool] = lambda _engine: False
 
 
 class EngineLoads:
@@ -70,7 +70,7 @@
         view: what it needs to know of the owner.
     """
 
-    def __init__(self, orders: EngineOrders, view: LoadsView) -> None:
+    def __init__(self, orders: EngineOrders, view: OwnerCallbacks) -> None:
         self._orders = orders
         self._view = view
         self._loop = asyncio.get_running_loop()
@@ -87,13 +87,13 @@
         engine = choice.engine
         engine.loading[artifact] = Pending(choice.victim)
         if choice.victim:
-            self.let_go(engine, choice.victim)
+            self.mark_for_unload(engine, choice.victim)
 
-    def let_go(self, engine: Engine, artifact: str) -> None:
+    def mark_for_unload(self, engine: Engine, artifact: str) -> None:
         """Has fronts send no more requests for what is to be unloaded."""
         held = engine.held.pop(artifact)
         engine.leaving[artifact] = Leaving(self._loop.time(), held.version)
-        self._view.tell(engine)
+        self._view.publish_resident(engine)
 
     async def load(self, choice: Choice, artifact: str, version: int) -> bool:
         """Unloads what gives way, loads, and waits until it is there."""
@@ -124,7 +124,7 @@
         if leaving is not None:
             now = self._loop.time()
             engine.held[artifact] = Held(leaving.version, now, now)
-            self._view.tell(engine)
+            self._view.publish_resident(engine)
 
     def _note_unloaded(self, engine: Engine, artifact: str) -> None:
         engine.leaving.pop(artifact, None)
@@ -183,10 +183,10 @@
         self, engine: Engine, artifact: str, version: int, began: float
     ) -> None:
         now = self._loop.time()
-        newest = max(self._view.version(artifact), version, 1)
+        newest = max(self._view.min_version(artifact), version, 1)
         engine.held[artifact] = Held(newest, now, now)
         engine.unanswered.pop(artifact, None)
-        self._view.tell(engine)
+        self._view.publish_resident(engine)
         self._orders.telemetry.note_load(now - began)
         log_message(
             "fleet:loaded",
--- a/src/ridgesill/app/fleet_client.py
+++ b/src/ridgesill/app/fleet_client.py
@@ -83,7 +83,7 @@
         self._others = tuple(others)
         self._relay = relay
         # What was sent under rates and no node has taken yet.
-        self.reports = ReportsToTell()
+        self.pending_reports = ReportsToTell()
         self._relay_from = float("-inf")
         self._relay_pause = _RELAY_PAUSE
         self._loop = asyncio.get_running_loop()
@@ -94,11 +94,11 @@
         self._watchers: list[Callable[[], None]] = []
         self._news_watchers: list[Callable[[FleetNews], None]] = []
 
-    def watch_news(self, watcher: Callable[[FleetNews], None]) -> None:
+    def add_news_listener(self, watcher: Callable[[FleetNews], None]) -> None:
         """Has a function called with all news that have been taken."""
         self._news_watchers.append(watcher)
 
-    def watch(self, watcher: Callable[[], None]) -> None:
+    def add_listener(self, watcher: Callable[[], None]) -> None:
         """Has a function called whenever news have been taken."""
         self._watchers.append(watcher)
 
@@ -136,8 +136,8 @@
 
     async def _ask(self, address: str, margin: float = _MARGIN) -> bool:
         usage = self._usage() if self._usage else UsageReport(fronts=0)
-        self.reports.add(usage.sent)
-        reports = self.reports.address(address, self._loop.time())
+        self.pending_reports.add(usage.sent)
+        reports = self.pending_reports.address(address, self._loop.time())
         question = WatchFleet(
             self.view.epoch,
             self.view.number,
@@ -159,7 +159,7 @@
         except PeerError as error:
             self._note_touch(False, address, str(error))
             return False
-        self.reports.settle(address, reports, news.taken)
+        self.pending_reports.settle(address, reports, news.taken)
         if not news.epoch:
             self._note_touch(False, address, "it does not own the fleet")
             return False
@@ -195,7 +195,7 @@
             detail=detail,
         )
 
-    async def want(self, want: WantArtifact) -> ArtifactReady:
+    async def request_artifact(self, want: WantArtifact) -> ArtifactReady:
         """Returns the owner's answer to a want.
 
         While no owner answers, another is looked for, but not for long.
@@ -215,7 +215,7 @@
             await asyncio.sleep(_RETRY)
         return ArtifactReady("", reason=reason, after=_NO_OWNER_AFTER)
 
-    async def assign(self, want: WantArtifact) -> ArtifactReady | None:
+    async def request_holder(self, want: WantArtifact) -> ArtifactReady | None:
         """Returns what the owner says of the holders; None if nothing."""
         owner = self._owner()
         if not owner or self._loop.time() < self._assigns_from:
@@ -232,7 +232,7 @@
             return None
         return answer
 
-    async def tell_leave(self, leave: HeardLeave) -> None:
+    async def report_leave(self, leave: HeardLeave) -> None:
         """Tells the owner that an upstream leaves, until it has taken that."""
         deadline = self._loop.time() + _LEAVE_SECONDS
         while self._loop.time() < deadline:
@@ -250,7 +250,7 @@
                 )
             await asyncio.sleep(_LEAVE_PAUSE)
 
-    def tell_reading_ended(self, ended: ReadingEnded) -> None:
+    def report_reading_ended(self, ended: ReadingEnded) -> None:
         """Tells the owner that a prompt was read, or never will be."""
         owner = self._owner()
         if owner:
--- a/src/ridgesill/app/fleet_engines.py
+++ b/src/ridgesill/app/fleet_engines.py
@@ -83,7 +83,7 @@
         """Gives up all."""
         self.registry = None
 
-    def forget_silent(self) -> None:
+    def remove_silent(self) -> None:
         """Forgets upstreams that have been silent for too long."""
         registry = self.registry
         if registry is None:
@@ -107,7 +107,7 @@
             and registry.upstreams[engine.name].service == service
         ]
 
-    def hear(self, heartbeat: Heartbeat) -> None:
+    def handle_heartbeat(self, heartbeat: Heartbeat) -> None:
         """Takes a heartbeat."""
         registry = self.registry
         if registry is None:
@@ -140,7 +140,7 @@
                     self._forget(name)
             self._note_news()
 
-    def note_leave(self, leave: HeardLeave) -> None:
+    def handle_leave(self, leave: HeardLeave) -> None:
         """Notes that an upstream leaves."""
         registry = self.registry
         if registry is None:
@@ -177,7 +177,7 @@
                     artifacts=appeared,
                     places=engine.places_taken(),
                 )
-            self.tell_resident(engine)
+            self.publish_resident(engine)
 
     def _meet(self, upstream: Upstream, now: float) -> None:
         service = self.table.services.get(upstream.service)
@@ -191,7 +191,7 @@
             instance=upstream.instance,
             start=upstream.start,
         )
-        if upstream.has_strays or self._may_have_begun_lately(upstream):
+        if upstream.has_strays or self._may_have_started_recently(upstream):
             # An earlier owner's orders to an earlier start may run on this one;
             # which isn't known here.
             engine.suspended_until = (
@@ -205,7 +205,7 @@
         engine.ordered_at = min(now, self._delivered_until())
         self._placement.engines[upstream.name] = engine
 
-    def _may_have_begun_lately(self, upstream: Upstream) -> bool:
+    def _may_have_started_recently(self, upstream: Upstream) -> bool:
         """Whether an earlier owner may have ordered an earlier start of it.
 
         Only the engine's own word tells when it began, by the time of day,
@@ -226,7 +226,7 @@
         )
         self._forget(before.name)
 
-    def hear_later_start(self, engine: Engine, report: EngineReport) -> None:
+    def handle_later_start(self, engine: Engine, report: EngineReport) -> None:
         """Takes a report of a later start than the one that was asked."""
         registry = self.registry
         if registry is None or engine.name not in registry.upstreams:
@@ -246,7 +246,7 @@
             instance=engine.instance,
             start=report.start,
         )
-        self.hear(heartbeat)
+        self.handle_heartbeat(heartbeat)
 
     def _forget(self, name: str) -> None:
         engine = self._placement.engines.pop(name, None)
@@ -255,7 +255,7 @@
             engine.has_ended = True
         self._orders.forget(name)
 
-    def note_table(self, table: RouteTable) -> None:
+    def apply_table(self, table: RouteTable) -> None:
         """Takes a new configuration."""
         self.table = table
         if self.registry is None:
@@ -265,7 +265,7 @@
             if upstream.name not in self._placement.engines:
                 self._meet(upstream, now)
 
-    def tell_resident(self, engine: Engine) -> None:
+    def publish_resident(self, engine: Engine) -> None:
         """Has fronts learn what an engine holds now."""
         if self.registry is None:
             return
--- a/src/ridgesill/app/fleet_loads.py
+++ b/src/ridgesill/app/fleet_loads.py
@@ -6,7 +6,7 @@
 import attrs
 from eliot import log_message, write_traceback
 
-from ridgesill.app.engine_loads import EngineLoads, LoadsView
+from ridgesill.app.engine_loads import EngineLoads, OwnerCallbacks
 from ridgesill.app.engine_orders import EngineOrders
 from ridgesill.app.fleet_upkeep import FleetUpkeep
 from ridgesill.core.fleet.assignment import (
@@ -107,7 +107,7 @@
         self,
         placement: Placement,
         orders: EngineOrders,
-        view: LoadsView,
+        view: OwnerCallbacks,
         backlogs: Backlogs | None = None,
         health: EngineHealth | None = None,
     ) -> None:
@@ -135,13 +135,13 @@
         self._loadings.clear()
         self._queue = WantQueue()
 
-    def tend(self, service: str, models: tuple[str, ...]) -> None:
+    def start_upkeep(self, service: str, models: tuple[str, ...]) -> None:
         """Brings base models, copies and new versions to engines."""
         self._upkeep.tend(service, models)
 
     # -- wants ---------------------------------------------------------
 
-    async def want(self, want: WantArtifact) -> ArtifactReady:
+    async def provide_artifact(self, want: WantArtifact) -> ArtifactReady:
         """Returns once an engine holds what is wanted, or none will."""
         asked_at = self._loop.time()
         deadline = asked_at + want.patience
@@ -152,7 +152,11 @@
             current = attrs.evolve(want, goal=want.goal - (now - asked_at))
             engines = self._engines_in_use(want.service)
             holder = choose_holder(
-                current, engines, self._backlogs, now, self._view.busy()
+                current,
+                engines,
+                self._backlogs,
+                now,
+                self._view.requests_in_progress(),
             )
             if holder is not None:
                 if copied or not self._is_copy_sooner(current, holder):
@@ -165,7 +169,7 @@
             left = deadline - now
             if left <= 0:
                 return answer
-            wait = self._view.orders_from() - self._loop.time()
+            wait = self._view.orders_allowed_from() - self._loop.time()
             if wait > left:
                 return _refuse_until(wait)
             if wait > 0:
@@ -185,22 +189,24 @@
         One that rests for most fronts is full: what is loaded there serves
         few, and not soon. Where all of them rest, none is better.
         """
-        engines = self._view.engines(service)
-        awake = [e for e in engines if not self._view.rests(e.name)]
+        engines = self._view.list_engines(service)
+        awake = [e for e in engines if not self._view.is_resting(e.name)]
         engines = awake or engines
         names = [engine.name for engine in engines]
-        fronts = self._view.fronts()
+        fronts = self._view.count_fronts()
         out = self._health.find_out(names, fronts, self._loop.time())
         return [engine for engine in engines if engine.name not in out]
 
     def _is_held_out_of_use(self, want: WantArtifact) -> bool:
         """Whether only engines hold something that get no requests now."""
-        return bool(find_holders(want, self._view.engines(want.service)))
+        return bool(find_holders(want, self._view.list_engines(want.service)))
 
     def _is_copy_sooner(self, want: WantArtifact, holder: Engine) -> bool:
         """Whether a request should wait for a copy rather than a holder."""
         now = self._loop.time()
-        if now < self._view.orders_from() or not is_adapter(want.artifact):
+        if now < self._view.orders_allowed_from() or not is_adapter(
+            want.artifact
+        ):
             return False
         return is_copy_sooner(
             want,
@@ -285,7 +291,7 @@
         if len(self._queue):
             self._dispatch()
 
-    def note_report(self) -> None:
+    def handle_report(self) -> None:
         """Looks whether what fronts have just told frees a place."""
         engines = len(self._placement.engines)
         pause = _REPORT_SECONDS_AN_ENGINE * engines
@@ -305,7 +311,7 @@
 
     def _dispatch(self) -> None:
         now = self._dispatched_at = self._loop.time()
-        if now < self._view.orders_from():
+        if now < self._view.orders_allowed_from():
             return
         surveys: dict[str, Survey] = {}
         misses = 0
@@ -341,19 +347,19 @@
     def _survey(self, service: str) -> Survey:
         now = self._loop.time()
         demand = Demand(
-            self._view.busy(),
-            self._view.using,
+            self._view.requests_in_progress(),
+            self._view.artifacts_in_use,
             self._is_settled,
             lambda engine: self._backlogs.backlog(engine, now),
         )
         engines = self._engines_in_use(service)
         # What a limited engine loads it could serve to few.
-        unlimited = [e for e in engines if not self._view.limited(e.name)]
+        unlimited = [e for e in engines if not self._view.is_limited(e.name)]
         return self._placement.survey(unlimited or engines, demand, now)
 
     def _is_settled(self, handed_at: float) -> bool:
         """Whether what was handed out at a moment shows in fronts' reports."""
-        if self._view.heard_since(handed_at + _REPORT_MARGIN):
+        if self._view.have_fronts_reported_since(handed_at + _REPORT_MARGIN):
             return True
         return self._loop.time() - handed_at > _SETTLE_SECONDS
 
@@ -362,8 +368,8 @@
         if not is_adapter(want.artifact):
             return self._placement.choose_for_model(
                 want.artifact,
-                self._view.engines(want.service),
-                self._view.busy(),
+                self._view.list_engines(want.service),
+                self._view.requests_in_progress(),
                 self._loop.time(),
             )
         avoid = waiting.avoid
--- a/src/ridgesill/app/fleet_owner.py
+++ b/src/ridgesill/app/fleet_owner.py
@@ -15,7 +15,7 @@
 from ridgesill.adapters.http1.client import UpstreamChannels
 from ridgesill.app.change_signal import ChangeSignal
 from ridgesill.app.control import Control, UnavailableError
-from ridgesill.app.engine_loads import LoadsView
+from ridgesill.app.engine_loads import OwnerCallbacks
 from ridgesill.app.engine_orders import Authority, EngineOrders
 from ridgesill.app.fleet_client import FleetClient
 from ridgesill.app.fleet_engines import FleetEngines
@@ -142,7 +142,9 @@
         self._patience = heartbeat * _HEARTBEATS_MISSED
         self._loop = asyncio.get_running_loop()
         self._term = 0
-        self.holder = OrderHolder(control, channels, calls, self.hear_holder)
+        self.holder = OrderHolder(
+            control, channels, calls, self.handle_holder_alive
+        )
         self._leases = OrderLeaseKeeper(
             control, OrderLeases(lease), self.holder, self._spawn
         )
@@ -177,13 +179,13 @@
         self._loads = FleetLoads(
             self._placement,
             self._orders,
-            LoadsView(
+            OwnerCallbacks(
                 self._engines.of_service,
                 self._usage.busy,
                 self._usage.artifacts,
                 self._have_fronts_told,
                 self._version,
-                self._engines.tell_resident,
+                self._engines.publish_resident,
                 self._usable_from,
                 self._count_fronts,
                 self._usage.rests_for_most,
@@ -194,11 +196,11 @@
         )
 
     def _hear_later_start(self, engine: Engine, report: EngineReport) -> None:
-        self._engines.hear_later_start(engine, report)
+        self._engines.handle_later_start(engine, report)
 
     def _hear_leaving(self, engine: Engine) -> None:
         if not engine.draining:
-            self.take_leave(HeardLeave(engine.instance, engine.start))
+            self.handle_leave(HeardLeave(engine.instance, engine.start))
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
         self._loads.engine_loads.spawn(work)
@@ -287,7 +289,7 @@
         is_known = now - view.known_at < _MEMORY_SECONDS
         self._uses_known_at = now + (0.0 if is_known else _USES_SECONDS)
         self._limits.begin(view, now)
-        for sent in self._follower.reports.take_untold():
+        for sent in self._follower.pending_reports.take_untold():
             self._count(sent, now)
         self._news.note()
 
@@ -306,7 +308,7 @@
         if registry is None:
             return
         now = self._loop.time()
-        self._engines.forget_silent()
+        self._engines.remove_silent()
         self._usage.forget_silent(now)
         self._taken.forget_silent(now)
         self._quotas.note_fronts(self._usage.fronts, now)
@@ -323,25 +325,25 @@
 
     # -- heartbeats ----------------------------------------------------
 
-    def is_foreign(self, service: str) -> bool:
+    def is_unknown_service(self, service: str) -> bool:
         """Whether no configuration has named a service, though there is one."""
         return bool(self._services) and service not in self._services
 
-    async def hear(self, heartbeat: Heartbeat) -> None:
+    async def submit_heartbeat(self, heartbeat: Heartbeat) -> None:
         """Takes a heartbeat, here or through the owner.
 
         Raises:
             NotOwnerError: no owner could be reached.
         """
         if self.is_owner():
-            self.take_heartbeat(heartbeat)
+            self.handle_heartbeat(heartbeat)
         else:
             await self._pass_on(HeardHeartbeat(heartbeat))
 
-    async def hear_leave(self, leave: HeardLeave) -> None:
+    async def submit_leave(self, leave: HeardLeave) -> None:
         """Takes an upstream's word that it leaves."""
         if self.is_owner():
-            self.take_leave(leave)
+            self.handle_leave(leave)
         else:
             await self._pass_on(leave)
 
@@ -354,30 +356,30 @@
         except PeerError as error:
             raise NotOwnerError(str(error)) from error
 
-    async def handle_passed(
+    async def handle_forwarded(
         self, message: HeardHeartbeat | HeardLeave
     ) -> Taken:
         """Takes what another node passes on."""
         if not self.is_owner():
             raise PeerError(type(message).__name__, "here", "not the owner")
         if isinstance(message, HeardLeave):
-            self.take_leave(message)
+            self.handle_leave(message)
         else:
-            self.take_heartbeat(message.heartbeat)
+            self.handle_heartbeat(message.heartbeat)
         return Taken()
 
-    def take_heartbeat(self, heartbeat: Heartbeat) -> None:
+    def handle_heartbeat(self, heartbeat: Heartbeat) -> None:
         """Takes a heartbeat as the owner."""
-        self._engines.hear(heartbeat)
+        self._engines.handle_heartbeat(heartbeat)
 
-    def take_leave(self, leave: HeardLeave) -> None:
+    def handle_leave(self, leave: HeardLeave) -> None:
         """Notes as the owner that an upstream leaves."""
-        self._engines.note_leave(leave)
+        self._engines.handle_leave(leave)
 
-    def note_table(self, table: RouteTable) -> None:
+    def apply_table(self, table: RouteTable) -> None:
         """Takes a new configuration."""
         self._services.update(table.services)
-        self._engines.note_table(table)
+        self._engines.apply_table(table)
         customers = table.customers
         self._quotas.set_quotas(customers.quotas if customers else {})
 
@@ -413,7 +415,7 @@
         """Answers a front, a relay, or a node that may own the fleet next."""
         if not self.is_owner():
             return await self.relay.answer(sender, question)
-        taken = self._note_front(sender, question)
+        taken = self._record_front(sender, question)
         await await_news(
             lambda: self._has_news(question),
             self._news,
@@ -446,11 +448,13 @@
             return True
         return registry.has_news(question.epoch, question.number)
 
-    def _note_front(self, sender: str, question: WatchFleet) -> tuple[int, ...]:
+    def _record_front(
+        self, sender: str, question: WatchFleet
+    ) -> tuple[int, ...]:
         """Takes what an asker says; returns the reports that were taken."""
         now = self._loop.time()
         self._usage.note(sender, read_report(question), now)
-        self._loads.note_report()
+        self._loads.handle_report()
         if self._limits.hear(question.limits, now):
             self._news.note()
         if question.used:
@@ -508,7 +512,7 @@
         """Has an engine hold something; answers once it does."""
         if not self.is_owner():
             return ArtifactReady("", after=1.0, reason=NOT_OWNER)
-        return await self._loads.want(want)
+        return await self._loads.provide_artifact(want)
 
     async def handle_reading_ended(
         self, sender: str, ended: ReadingEnded
@@ -527,7 +531,7 @@
 
     # -- order leases --------------------------------------------------
 
-    def hear_holder(self, alive: HolderAlive) -> None:
+    def handle_holder_alive(self, alive: HolderAlive) -> None:
         """Notes that a VM can deliver orders."""
         if self._leases.hear(alive) and self._registry is not None:
             self._leases.note_holders(self._placement.engines.values())
@@ -549,4 +553,4 @@
         for service in self.table.services.values():
             if service.engine is not None:
                 models = tuple(model.name for model in service.engine.models)
-                self._loads.tend(service.name, models)
+                self._loads.start_upkeep(service.name, models)
--- a/src/ridgesill/app/fleet_upkeep.py
+++ b/src/ridgesill/app/fleet_upkeep.py
@@ -3,7 +3,7 @@
 import asyncio
 from collections.abc import Callable
 
-from ridgesill.app.engine_loads import EngineLoads, LoadsView
+from ridgesill.app.engine_loads import EngineLoads, OwnerCallbacks
 from ridgesill.app.engine_orders import EngineOrders
 from ridgesill.core.fleet.copies import choose_copies
 from ridgesill.core.fleet.engines import Engine
@@ -42,7 +42,7 @@
         placement: Placement,
         orders: EngineOrders,
         loads: EngineLoads,
-        view: LoadsView,
+        view: OwnerCallbacks,
         survey: Callable[[str], Survey],
     ) -> None:
         self._placement = placement
@@ -58,10 +58,10 @@
     def tend(self, service: str, models: tuple[str, ...]) -> None:
         """Asks engines what they hold, and mends what they lack."""
         now = self._loop.time()
-        orders_in = self._view.orders_from() - now
+        orders_in = self._view.orders_allowed_from() - now
         if orders_in > _PREPARE_SECONDS:
             return
-        for engine in self._view.engines(service):
+        for engine in self._view.list_engines(service):
             if not engine.can_order(now) or engine.is_busy():
                 continue
             if self._is_known(engine, now) and orders_in <= 0:
@@ -97,7 +97,7 @@
         ):
             self._loads.reserve(choice, artifact)
             survey.note_chosen(choice.engine)
-            version = self._view.version(artifact)
+            version = self._view.min_version(artifact)
             self._loads.spawn(self._loads.load(choice, artifact, version))
 
     def _make_room(self, service: str, engine: Engine) -> None:
@@ -109,7 +109,7 @@
             self._let_go(engine, victim)
 
     def _let_go(self, engine: Engine, artifact: str) -> None:
-        self._loads.let_go(engine, artifact)
+        self._loads.mark_for_unload(engine, artifact)
         self._loads.spawn(self._loads.unload(engine, artifact))
 
     def _begin_model(
@@ -129,7 +129,7 @@
     def _renew_old(self, service: str, engine: Engine, now: float) -> None:
         """Replaces or unloads one adapter of which a newer version is named."""
         for artifact, held in list(engine.held.items()):
-            version = self._view.version(artifact)
+            version = self._view.min_version(artifact)
             if held.version >= version or artifact in engine.loading:
                 continue
             if self._may_renew(engine, artifact, now):
@@ -140,7 +140,7 @@
         """Whether requests on the old version have ended, or had the time."""
         key = (engine.name, artifact)
         since = self._replace_since.setdefault(key, now)
-        in_use = artifact in self._view.using(engine.name)
+        in_use = artifact in self._view.artifacts_in_use(engine.name)
         if in_use and now - since < _REPLACE_PATIENCE:
             return False
         del self._replace_since[key]
@@ -151,7 +151,7 @@
     ) -> None:
         newer = any(
             other.held[artifact].version >= version
-            for other in self._view.engines(service)
+            for other in self._view.list_engines(service)
             if artifact in other.held
         )
         if newer:
--- a/src/ridgesill/app/formation.py
+++ b/src/ridgesill/app/formation.py
@@ -62,7 +62,7 @@
             _join(storage, name)
         self.identity = storage.identity or f"{name}.{secrets.token_hex(4)}"
 
-    def hear(self, node: Node) -> None:
+    def record_node(self, node: Node) -> None:
         """Notes a node that introduces itself."""
         if node.voter:
             self._heard[node.name] = node
@@ -71,7 +71,7 @@
         """Returns once this node's disk holds the start of a log."""
         if not self._founds:
             return
-        self.hear(own)
+        self.record_node(own)
         loop = asyncio.get_running_loop()
         began = loop.time()
         while not self._is_enough(loop.time() - began):
--- a/src/ridgesill/app/front_process.py
+++ b/src/ridgesill/app/front_process.py
@@ -73,7 +73,7 @@
         self._peers = PeerLinks(node.identity)
         self.control = make_control(settings, node, self._peers)
         self._peers.traffic.is_far = self.control.is_far
-        self.control.watch(self._note_state)
+        self.control.add_listener(self._note_state)
         self.fleet = FleetClient(
             self._peers,
             self.control.leader_address,
@@ -95,8 +95,8 @@
             bounds.revocation * _REVOCATION_SHARE,
             settings.vm,
         )
-        self.fleet.watch(self.front.learned.note)
-        self.fleet.watch(self._note_news)
+        self.fleet.add_listener(self.front.learned.note)
+        self.fleet.add_listener(self._note_news)
         self._callers = HttpListener(
             settings.callers, functools.partial(serve_request, self.front)
         )
--- a/src/ridgesill/app/news_relay.py
+++ b/src/ridgesill/app/news_relay.py
@@ -77,7 +77,7 @@
         self._view = fleet.view
         self._changed = ChangeSignal()
         self._loop = asyncio.get_running_loop()
-        fleet.watch_news(self._take)
+        fleet.add_news_listener(self._take)
 
     def _take(self, news: FleetNews) -> None:
         self._news.take(news)
@@ -133,5 +133,5 @@
             question.reports,
             now,
             accepts=accepts,
-            count=lambda r: self._fleet.reports.add(read_sent(r, now)),
+            count=lambda r: self._fleet.pending_reports.add(read_sent(r, now)),
         )
--- a/src/ridgesill/app/node.py
+++ b/src/ridgesill/app/node.py
@@ -88,12 +88,14 @@
         )
         if storage is not None:
             self.control.driver = LogDriver(
-                storage, self.control.send_replica, self.control.note_applied
+                storage,
+                self.control.send_to_replica,
+                self.control.notify_applied,
             )
         view = StateView(
             lambda: self.control.state,
             self.control.is_fresh,
-            lambda: self.control.refusing,
+            lambda: self.control.refusing_requests,
         )
         self.pools = Pools(
             self.identity,
@@ -104,8 +106,8 @@
             PoolLimits(queue=settings.queue),
         )
         self.entry = Entry(self.identity, view, self._peers)
-        self.control.watch(self.pools.sync)
-        self.control.watch(self.entry.note_owners)
+        self.control.add_listener(self.pools.sync)
+        self.control.add_listener(self.entry.note_owners)
         self._metrics = Metrics()
         self._wire_metrics()
         self._caller_app = self._make_caller_app()
@@ -297,7 +299,7 @@
         deadline = self._loop.time() + self._settings.drain_seconds
         # Readiness fails already; what the balancer still sends is served.
         await asyncio.sleep(min(_NOTICE_SECONDS, self._settings.drain_seconds))
-        self.control.refusing = True
+        self.control.refusing_requests = True
         while self._loop.time() < deadline and self._is_busy():
             await asyncio.sleep(_DRAIN_TICK)
 
--- a/src/ridgesill/app/platform_node.py
+++ b/src/ridgesill/app/platform_node.py
@@ -41,7 +41,7 @@
             {seed: seed for seed in settings.seeds},
             lease=_FOLLOW_LEASE_SECONDS,
             follow_wait=_FOLLOW_WAIT_SECONDS,
-            voters_most=settings.voters,
+            max_voters=settings.voters,
             names_are_addresses=True,
         ),
         peers,
--- a/src/ridgesill/app/upstream_search.py
+++ b/src/ridgesill/app/upstream_search.py
@@ -289,7 +289,7 @@
         """Returns what the owner says of the holders, if it does at once."""
         want = self._make_want(wanted, 0.0, is_held=True)
         self._is_asking = True
-        answer = await self._front.fleet.assign(want)
+        answer = await self._front.fleet.request_holder(want)
         self._is_asking = False
         return answer
 
@@ -340,7 +340,7 @@
     ) -> ArtifactReady:
         asked_at = self._loop.time()
         self._is_asking = True
-        answer = await self._front.fleet.want(
+        answer = await self._front.fleet.request_artifact(
             self._make_want(wanted, patience, is_held=False)
         )
         self._is_asking = False
@@ -385,7 +385,7 @@
         """
         if self._reading_at:
             upstream, self._reading_at = self._reading_at, ""
-            self._front.fleet.tell_reading_ended(
+            self._front.fleet.report_reading_ended(
                 ReadingEnded(
                     self._facts.request,
                     upstream,
@@ -400,4 +400,4 @@
         if self._is_asking:
             self._is_asking = False
             ended = ReadingEnded(self._facts.request, "", False)
-            self._front.fleet.tell_reading_ended(ended)
+            self._front.fleet.report_reading_ended(ended)
--- a/src/ridgesill/app/upstream_words.py
+++ b/src/ridgesill/app/upstream_words.py
@@ -112,7 +112,7 @@
         if upstream.name in self._telling:
             return
         leave = HeardLeave(_instance(upstream), upstream.start)
-        telling = self._loop.create_task(self._fleet.tell_leave(leave))
+        telling = self._loop.create_task(self._fleet.report_leave(leave))
         self._telling[upstream.name] = telling
         telling.add_done_callback(lambda _: self._telling.pop(upstream.name))
 
--- a/src/ridgesill/standin/emulator/world.py
+++ b/src/ridgesill/standin/emulator/world.py
@@ -169,7 +169,7 @@
             _LEASE,
             _HEARTBEAT,
         )
-        owner.note_table(self._table)
+        owner.apply_table(self._table)
         self._controls[name] = control
         self._owners[name] = owner
         self._nodes[name] = lambda sender, message: _take(
@@ -255,7 +255,7 @@
         while engine.is_up:
             owner = self._owners[self._leader] if self._leader else None
             if owner is not None and owner.is_owner():
-                owner.take_heartbeat(engine.heartbeat(SERVICE))
+                owner.handle_heartbeat(engine.heartbeat(SERVICE))
                 await asyncio.sleep(_HEARTBEAT)
             else:
                 await asyncio.sleep(0.1)
@@ -297,7 +297,7 @@
     if isinstance(message, WantArtifact):
         return await owner.handle_want(message)
     if isinstance(message, HolderAlive):
-        return owner.hear_holder(message)
+        return owner.handle_holder_alive(message)
     if isinstance(message, DeliverOrder):
         return await owner.holder.handle(message)
     if isinstance(message, ReadingEnded):
--- a/testing/app/control_world.py
+++ b/testing/app/control_world.py
@@ -141,8 +141,8 @@
         if storage is not None:
             control.driver = LogDriver(
                 storage,
-                control.send_replica,
-                control.note_applied,
+                control.send_to_replica,
+                control.notify_applied,
                 compact_entries=20,
                 run_blocking=_run_inline,
                 rng=random.Random(self.rng.random()),
@@ -152,7 +152,7 @@
         orders = RecordedOrders(self, identity)
         pools = Pools(identity, view, peers, orders, LEASE)
         heard.append(pools)
-        control.watch(pools.sync)
+        control.add_listener(pools.sync)
         works = [control.follow(), control.lead(), pools.run()]
         if control.driver is not None:
             works.append(control.driver.run())
@@ -180,7 +180,7 @@
         """Returns the nodes that take messages."""
         return self.members
 
-    async def take(self, sender: str, name: str, message: Any) -> Any:
+    async def handle_message(self, sender: str, name: str, message: Any) -> Any:
         """Has a node take a message; returns its answer."""
         member = self.members[name]
         if isinstance(message, ReplicaMessage):
--- a/testing/app/engine_world.py
+++ b/testing/app/engine_world.py
@@ -8,7 +8,7 @@
 import attrs
 import msgspec
 
-from ridgesill.app.engine_loads import LoadsView
+from ridgesill.app.engine_loads import OwnerCallbacks
 from ridgesill.app.engine_orders import Authority, EngineOrders
 from ridgesill.app.fleet_loads import FleetLoads
 from ridgesill.app.order_holder import deliver_order
@@ -43,26 +43,26 @@
     name: str
     places: int
     taken: int = 0
-    fell: bool = False
+    is_overfull: bool = False
     held: dict[str, int] = attrs.Factory(dict)
     incoming: dict[str, float] = attrs.Factory(dict)
-    used: set[str] = attrs.Factory(set)
+    adapters_in_use: set[str] = attrs.Factory(set)
     waits_for: str = ""
     reports: list[tuple[float, dict[str, Any]]] = attrs.Factory(list)
 
-    def settle(self, now: float) -> None:
+    def complete_due(self, now: float) -> None:
         """Lets loads and unloads end that are due."""
         for adapter, ready_at in list(self.incoming.items()):
             if now >= ready_at:
                 del self.incoming[adapter]
                 self.held[adapter] = 1
-        if self.waits_for and self.waits_for not in self.used:
+        if self.waits_for and self.waits_for not in self.adapters_in_use:
             self.held.pop(self.waits_for, None)
             self.waits_for = ""
 
-    def order(self, body: dict[str, Any], now: float) -> int:
+    def handle_order(self, body: dict[str, Any], now: float) -> int:
         """Carries out an order; returns the status of its answer."""
-        self.settle(now)
+        self.complete_due(now)
         adapter = body["adapter"]
         is_load = body["operation"] == "load"
         if body.get("expected_revision") not in (None, self.taken):
@@ -83,12 +83,12 @@
         self.taken += 1
         self.incoming[adapter] = now + _LOAD_SECONDS
         if len(self.held) + len(self.incoming) > self.places:
-            self.fell = True
+            self.is_overfull = True
         return 202
 
     def _unload(self, adapter: str) -> int:
         self.taken += 1
-        if adapter in self.used:
+        if adapter in self.adapters_in_use:
             self.waits_for = adapter
             return 202
         del self.held[adapter]
@@ -123,7 +123,7 @@
 
     def report(self, now: float) -> dict[str, Any]:
         """Returns what it says of itself, some hundred milliseconds old."""
-        self.settle(now)
+        self.complete_due(now)
         said = self.describe()
         self.reports.append((now, said))
         old = [r for at, r in self.reports if at <= now - _REPORT_LAG]
@@ -175,7 +175,7 @@
         self._rng = rng
         self.lost = lost
         self.orders: list[dict[str, Any]] = []
-        self.fates: collections.deque[float] = collections.deque()
+        self.unanswered_delays: collections.deque[float] = collections.deque()
         self._loop = asyncio.get_running_loop()
 
     async def send(
@@ -191,14 +191,14 @@
         body = msgspec.json.decode(request.body)
         engine.report(now)
         self.orders.append(body)
-        if self.fates:
-            late = self.fates.popleft()
+        if self.unanswered_delays:
+            late = self.unanswered_delays.popleft()
         elif self._rng.random() >= self.lost:
-            return SimulatedExchange(engine.order(body, now), b"{}")
+            return SimulatedExchange(engine.handle_order(body, now), b"{}")
         else:
             late = self._rng.choice((0.0, self._rng.uniform(2.0, 12.0)))
         self._loop.call_later(
-            late, lambda: engine.order(body, self._loop.time())
+            late, lambda: engine.handle_order(body, self._loop.time())
         )
         return SimulatedExchange(0, b"")
 
@@ -251,7 +251,7 @@
         self.loads = FleetLoads(
             self.placement,
             self.orders,
-            LoadsView(
+            OwnerCallbacks(
                 lambda _service: list(self.placement.engines.values()),
                 lambda: self.busy,
                 self._using,
@@ -264,7 +264,7 @@
             health=self.health,
         )
 
-    def fail(self, engine: str, front: str) -> None:
+    def report_failure(self, engine: str, front: str) -> None:
         """Has a front tell that no channel to an engine came up."""
         now = self.loop.time()
         self.health.note_failed(engine, front, now, unreachable=True)
@@ -280,10 +280,10 @@
 
     def _using(self, name: str) -> set[str]:
         engine = next(e for e in self.simulated if e.name == name)
-        return {f"{MODEL}/{adapter}" for adapter in engine.used}
+        return {f"{MODEL}/{adapter}" for adapter in engine.adapters_in_use}
 
-    async def tend(self) -> None:
+    async def run_upkeep(self) -> None:
         """Does what the owner does ten times a second."""
         while True:
-            self.loads.tend("s", (MODEL,))
+            self.loads.start_upkeep("s", (MODEL,))
             await asyncio.sleep(0.1)
--- a/testing/app/faulty_network.py
+++ b/testing/app/faulty_network.py
@@ -22,7 +22,7 @@
     ) -> None:
         self.rng = random.Random(seed)
         self.loss = loss
-        self.cut: set[tuple[str, str]] = set()
+        self.cut_links: set[tuple[str, str]] = set()
         self.reply_delay: dict[str, float] = {}
         self._delays = delays
         self._spawned: set[asyncio.Task[Any]] = set()
@@ -46,7 +46,7 @@
         """Returns the nodes that take messages."""
         raise NotImplementedError
 
-    async def take(self, sender: str, name: str, message: Any) -> Any:
+    async def handle_message(self, sender: str, name: str, message: Any) -> Any:
         """Has a node take a message; returns its answer."""
         raise NotImplementedError
 
@@ -54,14 +54,14 @@
         """Cuts a node off in one direction or both."""
         for other in self.names():
             if inbound:
-                self.cut.add((other, name))
+                self.cut_links.add((other, name))
             if outbound:
-                self.cut.add((name, other))
+                self.cut_links.add((name, other))
 
-    async def carry(self, sender: str, to: str, message: Any) -> Any:
+    async def deliver(self, sender: str, to: str, message: Any) -> Any:
         """Takes a message to a node and its answer back."""
         await self._travel(sender, to)
-        answer = await self.take(sender, to, message)
+        answer = await self.handle_message(sender, to, message)
         await asyncio.sleep(self.reply_delay.get(sender, 0.0))
         await self._travel(to, sender)
         return answer
@@ -69,7 +69,11 @@
     async def _travel(self, sender: str, to: str) -> None:
         await asyncio.sleep(self.rng.uniform(*self._delays))
         is_lost = self.rng.random() < self.loss
-        if is_lost or (sender, to) in self.cut or to not in self.running():
+        if (
+            is_lost
+            or (sender, to) in self.cut_links
+            or to not in self.running()
+        ):
             # As on a real network, a loss shows only by silence.
             await asyncio.sleep(60.0)
             raise PeerError("travel", to, "lost")
@@ -84,12 +88,12 @@
 
     def send(self, address: str, message: Any) -> None:
         """Sends a message that may be lost."""
-        work = self._network.carry(self._name, address, message)
+        work = self._network.deliver(self._name, address, message)
         self._network.spawn(_ignore_errors(work))
 
     async def call(self, address: str, message: Any, timeout: float) -> Any:
         """Returns the answer, or raises `PeerError`."""
-        work = self._network.carry(self._name, address, message)
+        work = self._network.deliver(self._name, address, message)
         try:
             return await asyncio.wait_for(work, timeout)
         except TimeoutError as error:
--- a/testing/app/front_world.py
+++ b/testing/app/front_world.py
@@ -174,20 +174,20 @@
         self.ended: list[ReadingEnded] = []
         self.leaves: list[HeardLeave] = []
 
-    async def want(self, want: WantArtifact) -> ArtifactReady:
+    async def request_artifact(self, want: WantArtifact) -> ArtifactReady:
         """Returns the answer that the test has set."""
         self.wants.append(want)
         return self.answer
 
-    async def assign(self, want: WantArtifact) -> ArtifactReady | None:
+    async def request_holder(self, want: WantArtifact) -> ArtifactReady | None:
         """Returns the holder that the test has set."""
         return self.assigned
 
-    async def tell_leave(self, leave: HeardLeave) -> None:
+    async def report_leave(self, leave: HeardLeave) -> None:
         """Notes what the front tells."""
         self.leaves.append(leave)
 
-    def tell_reading_ended(self, ended: ReadingEnded) -> None:
+    def report_reading_ended(self, ended: ReadingEnded) -> None:
         """Notes what the front tells."""
         self.ended.append(ended)
 
--- a/testing/app/lone_node.py
+++ b/testing/app/lone_node.py
@@ -42,7 +42,7 @@
         self.driver = LogDriver(
             storage,
             lambda _to, _message: None,
-            self.control.note_applied,
+            self.control.notify_applied,
             run_blocking=_run_inline,
             rng=random.Random(1),
         )
--- a/testing/app/news_world.py
+++ b/testing/app/news_world.py
@@ -136,7 +136,7 @@
                 beat = Heartbeat(
                     f"e{number}", "s", address, place, 12, False, sequence
                 )
-                self.owning.owner.take_heartbeat(beat)
+                self.owning.owner.handle_heartbeat(beat)
             await asyncio.sleep(1.2)
 
     def load(self, engine: str, artifact: str) -> None:
--- a/testing/app/order_world.py
+++ b/testing/app/order_world.py
@@ -142,8 +142,8 @@
         )
         control.driver = LogDriver(
             storage,
-            control.send_replica,
-            control.note_applied,
+            control.send_to_replica,
+            control.notify_applied,
             _TIMING,
             run_blocking=_run_inline,
             rng=random.Random(self.rng.random()),
@@ -157,7 +157,7 @@
             LEASE,
             _HEARTBEAT,
         )
-        owner.note_table(make_table(_SERVICE, _PLACES))
+        owner.apply_table(make_table(_SERVICE, _PLACES))
         works = [
             control.driver.run(),
             control.follow(),
@@ -201,7 +201,7 @@
         """Returns the nodes that take messages."""
         return self.members
 
-    async def take(self, sender: str, name: str, message: Any) -> Any:
+    async def handle_message(self, sender: str, name: str, message: Any) -> Any:
         """Has a node take a message; returns its answer."""
         member = self.members[name]
         if isinstance(message, ReplicaMessage):
@@ -213,7 +213,7 @@
         if isinstance(message, WatchFleet):
             return await member.owner.handle_watch(sender, message)
         if isinstance(message, HolderAlive):
-            return member.owner.hear_holder(message)
+            return member.owner.handle_holder_alive(message)
         if isinstance(message, DeliverOrder):
             return await member.owner.holder.handle(message)
         raise PeerError(type(message).__name__, sender, "unknown message")
@@ -225,7 +225,7 @@
         while True:
             sequence += 1
             for number, engine in enumerate(self.engines):
-                engine.settle(self._loop.time())
+                engine.complete_due(self._loop.time())
                 resident = {f"{MODEL}/{a}": 1 for a in engine.held}
                 heartbeat = Heartbeat(
                     engine.name,
@@ -239,7 +239,7 @@
                 )
                 leader = self.leader()
                 if leader:
-                    self.members[leader].owner.take_heartbeat(heartbeat)
+                    self.members[leader].owner.handle_heartbeat(heartbeat)
             await asyncio.sleep(_HEARTBEAT)
 
     async def _sample_reports(self) -> None:
--- a/testing/app/test_control.py
+++ b/testing/app/test_control.py
@@ -72,7 +72,7 @@
         for version in range(2, 60):
             control = world.members["a"].control
             await control.propose(configure(version, version - 1), 5.0)
-        world.cut.clear()
+        world.cut_links.clear()
         await asyncio.sleep(5.0)
         assert world.members["x"].control.state.version == 59
         world.stop()
@@ -188,7 +188,7 @@
         await asyncio.sleep(rng.uniform(0.5, 6.0))
     # All faults end here, losses too: with them, a lease may run out at the
     # very moment at which the end is looked at.
-    world.cut.clear()
+    world.cut_links.clear()
     world.loss = 0.0
     for name in (*VOTERS, *_OTHERS):
         if name not in world.members:
@@ -213,7 +213,7 @@
     elif action == 1 and len(world.members) > 3:
         world.stop_node(name)
     elif action == 2:
-        world.cut.clear()
+        world.cut_links.clear()
     else:
         for other in (*VOTERS, *_OTHERS):
             if other not in world.members:
--- a/testing/app/test_control_api.py
+++ b/testing/app/test_control_api.py
@@ -147,7 +147,7 @@
     ) -> None:
         # It was accepted, and told to all nodes.
         said = {**_SAID, "service": "s9"}
-        api.node.owner.note_table(RouteTable(1, [], [Service("s1", "/", 0)]))
+        api.node.owner.apply_table(RouteTable(1, [], [Service("s1", "/", 0)]))
         answer = await api.call(_BEAT, msgspec.json.encode(said))
         assert answer.status == 400
         assert b"service" in answer.body
@@ -189,7 +189,7 @@
         customer = {"name": "alice", "api_keys": ["s3cret"], "rate_per_s": 5}
         put = document(route(), tenants=[{**customer, "burst": 7}])
         assert (await api.call(_PUT, put)).status == 200
-        api.node.owner.note_table(decode_configuration(put))
+        api.node.owner.apply_table(decode_configuration(put))
         listed = await api.call(b"/ridgesill/Quotas.List")
         (said,) = msgspec.json.decode(listed.body)
         assert (said["customer"], said["allowed"]) == ("alice", 8 * 5 + 7)
--- a/testing/app/test_fleet_client.py
+++ b/testing/app/test_fleet_client.py
@@ -38,7 +38,7 @@
     async def test_the_owner_s_answer(self) -> None:
         owner = SlowOwner(0.005)
         client = FleetClient(owner, lambda: "o:1", "f:1")
-        answer = await client.assign(WANT)
+        answer = await client.request_holder(WANT)
         assert answer is not None
         assert answer.upstream == "u1"
 
@@ -47,20 +47,20 @@
         client = FleetClient(owner, lambda: "o:1", "f:1")
         began = asyncio.get_running_loop().time()
         for _ in range(50):
-            assert await client.assign(WANT) is None
+            assert await client.request_holder(WANT) is None
         assert asyncio.get_running_loop().time() - began < 0.1
         assert owner.asked == 1
 
     async def test_it_is_asked_again_after_a_while(self) -> None:
         owner = SlowOwner(9.0)
         client = FleetClient(owner, lambda: "o:1", "f:1")
-        await client.assign(WANT)
+        await client.request_holder(WANT)
         owner.seconds = 0.005
         await asyncio.sleep(1.0)
-        assert await client.assign(WANT) is not None
+        assert await client.request_holder(WANT) is not None
 
     async def test_without_an_owner_nobody_is_asked(self) -> None:
         owner = SlowOwner(0.0)
         client = FleetClient(owner, lambda: "", "f:1")
-        assert await client.assign(WANT) is None
+        assert await client.request_holder(WANT) is None
         assert owner.asked == 0
--- a/testing/app/test_fleet_owner.py
+++ b/testing/app/test_fleet_owner.py
@@ -57,9 +57,9 @@
         owning = LoneNode(storage_of(before))
         loop = asyncio.get_running_loop()
         began = loop.time()
-        owning.owner.note_table(engine_table())
+        owning.owner.apply_table(engine_table())
         await owning.start()
-        owning.owner.take_heartbeat(engine_heartbeat())
+        owning.owner.handle_heartbeat(engine_heartbeat())
         while owning.owner._usable_from() > loop.time():
             await asyncio.sleep(0.05)
         # What nobody holds is granted once all holders could be heard.
@@ -70,9 +70,9 @@
         owning = LoneNode(storage_of("10.0.0.2:70"))
         loop = asyncio.get_running_loop()
         began = loop.time()
-        owning.owner.note_table(engine_table())
+        owning.owner.apply_table(engine_table())
         await owning.start()
-        owning.owner.take_heartbeat(engine_heartbeat())
+        owning.owner.handle_heartbeat(engine_heartbeat())
         # It voted for itself, and can't say whom it followed before it
         # started. An owner has orders delivered for 0.6 s after it last heard
         # a quorum, the holder delivers for 0.5 s after its last stamp, and
@@ -113,7 +113,7 @@
         owning = LoneNode(storage_of(""))
         leaving = Upstream("e1", "s", ENGINE, "a", 4, "draining", {"m": 1})
         owning.owner._follower.view.upstreams["e1"] = leaving
-        owning.owner.note_table(engine_table())
+        owning.owner.apply_table(engine_table())
         await owning.start()
         assert owning.owner._placement.engines["e1"].draining
         owning.stop()
@@ -151,11 +151,11 @@
         owning = LoneNode(storage_of(owner_before))
         loop = asyncio.get_running_loop()
         owning.owner._engines._time_of_day = lambda: 1_000.0 + loop.time()
-        owning.owner.note_table(engine_table())
+        owning.owner.apply_table(engine_table())
         await owning.start()
         start = int((1_000.0 + loop.time() - began_ago) * 1000)
         said = attrs.evolve(engine_heartbeat(), instance="e1", start=start)
-        owning.owner.take_heartbeat(said)
+        owning.owner.handle_heartbeat(said)
         engine = owning.owner._placement.engines["e1"]
         ordered_until = owning.owner._leases.delivered_until()
         owning.stop()
@@ -178,13 +178,13 @@
         owning = LoneNode(storage_of(""))
         await owning.start()
         owner = owning.owner
-        await owner.hear(heartbeat(1))
+        await owner.submit_heartbeat(heartbeat(1))
         first = await owner.handle_watch("f1", WatchFleet(0, 0, 0.5))
         assert first.whole
         question = WatchFleet(first.epoch, first.number, 0.5)
         asking = asyncio.create_task(owner.handle_watch("f1", question))
         await asyncio.sleep(0.2)
-        await owner.hear(heartbeat(2, draining=True))
+        await owner.submit_heartbeat(heartbeat(2, draining=True))
         news = await asyncio.wait_for(asking, 0.3)
         assert [c.record.state for c in news.changes] == ["draining"]
         owning.stop()
@@ -203,13 +203,13 @@
     ) -> None:
         owning = LoneNode(storage_of(""))
         owner = owning.owner
-        owner.note_table(engine_table())
+        owner.apply_table(engine_table())
         await owning.start()
-        owner.take_heartbeat(engine_heartbeat())
+        owner.handle_heartbeat(engine_heartbeat())
         engine = owner._placement.engines["e1"]
         owner._hear_leaving(engine)
         assert engine.draining
-        owner.take_heartbeat(attrs.evolve(engine_heartbeat(), sequence=2))
+        owner.handle_heartbeat(attrs.evolve(engine_heartbeat(), sequence=2))
         assert engine.draining
         news = await owner.handle_watch("f1", WatchFleet(0, 0, 0.0))
         records = [c.record for c in news.changes if c.record is not None]
@@ -232,9 +232,9 @@
 
     async def test_nobody_was_silent_while_this_vm_was_suspended(self) -> None:
         owning = LoneNode(storage_of(""))
-        owning.owner.note_table(engine_table())
+        owning.owner.apply_table(engine_table())
         await owning.start()
-        owning.owner.take_heartbeat(engine_heartbeat())
+        owning.owner.handle_heartbeat(engine_heartbeat())
         await self._suspend(6.0)
         registry = owning.owner._registry
         assert registry is not None
--- a/testing/app/test_fleet_upkeep.py
+++ b/testing/app/test_fleet_upkeep.py
@@ -13,7 +13,7 @@
 
 async def load(world: EngineWorld, adapter: str) -> str:
     """Has an adapter loaded somewhere; returns where."""
-    answer = await world.loads.want(
+    answer = await world.loads.provide_artifact(
         WantArtifact("s", f"base/{adapter}", 0, (), 2.0)
     )
     return answer.upstream
@@ -24,7 +24,7 @@
         world = EngineWorld(1, 2)
         name = await load(world, "a1")
         world.versions["base/a1"] = 2
-        tending = asyncio.create_task(world.tend())
+        tending = asyncio.create_task(world.run_upkeep())
         await asyncio.sleep(1.0)
         tending.cancel()
         held = world.placement.engines[name].held["base/a1"]
@@ -38,7 +38,7 @@
         other = next(n for n in world.placement.engines if n != name)
         world.placement.engines[other].held["base/a1"] = Held(2, 0.0, 0.0)
         world.versions["base/a1"] = 2
-        tending = asyncio.create_task(world.tend())
+        tending = asyncio.create_task(world.run_upkeep())
         await asyncio.sleep(1.0)
         tending.cancel()
         assert "base/a1" not in world.placement.engines[name].held
@@ -48,15 +48,15 @@
         name = await load(world, "a1")
         engine = world.placement.engines[name]
         simulated = next(e for e in world.simulated if e.name == name)
-        simulated.used.add("a1")
+        simulated.adapters_in_use.add("a1")
         other = next(n for n in world.placement.engines if n != name)
         world.placement.engines[other].held["base/a1"] = Held(2, 0.0, 0.0)
         world.versions["base/a1"] = 2
-        tending = asyncio.create_task(world.tend())
+        tending = asyncio.create_task(world.run_upkeep())
         # An answer of 300 tokens takes up to eight seconds.
         await asyncio.sleep(8.0)
         assert not engine.waits_for
-        simulated.used.clear()
+        simulated.adapters_in_use.clear()
         await asyncio.sleep(1.0)
         tending.cancel()
         assert "base/a1" not in engine.held
@@ -69,7 +69,7 @@
         now = world.loop.time()
         world.placement.note_used({"base/a1": 100}, now)
         world.busy[name] = 8
-        tending = asyncio.create_task(world.tend())
+        tending = asyncio.create_task(world.run_upkeep())
         await asyncio.sleep(0.7)
         tending.cancel()
         holders = [
@@ -85,7 +85,7 @@
         now = world.loop.time()
         world.placement.note_used({"base/a1": 100}, now)
         world.busy.update({"u0": 8, "u1": 8})
-        tending = asyncio.create_task(world.tend())
+        tending = asyncio.create_task(world.run_upkeep())
         await asyncio.sleep(1.0)
         tending.cancel()
         held = [
--- a/testing/app/test_formation.py
+++ b/testing/app/test_formation.py
@@ -57,7 +57,7 @@
         for name, formation in zip(_SEEDS, formations, strict=True)
     ]
     for node in nodes[1:]:
-        formations[0].hear(node)
+        formations[0].record_node(node)
     for formation, node in zip(formations, nodes, strict=True):
         await formation.form(node)
     return [formation.identity for formation in formations]
--- a/testing/app/test_forwarding.py
+++ b/testing/app/test_forwarding.py
@@ -525,7 +525,7 @@
     ) -> None:
         await world.add("u1", stream_three, "engine", base=1)
         client = await world.open()
-        world.fleet.want = wait_in_vain  # type: ignore[method-assign]
+        world.fleet.request_artifact = wait_in_vain  # type: ignore[method-assign]
         await client.send("/stream/x", **STREAM)
         await asyncio.sleep(0.1)
         client.leave()
--- a/testing/app/test_late_orders.py
+++ b/testing/app/test_late_orders.py
@@ -20,7 +20,7 @@
 async def replace(loads: EngineLoads, world: EngineWorld, adapter: str) -> None:
     """Unloads one adapter of the only engine."""
     engine = world.placement.engines["u0"]
-    loads.let_go(engine, f"base/{adapter}")
+    loads.mark_for_unload(engine, f"base/{adapter}")
     assert await loads.unload(engine, f"base/{adapter}")
 
 
@@ -41,28 +41,30 @@
         #    14.326  the engine falls
         world = EngineWorld(1, 3)
         engine = world.placement.engines["u0"]
-        await world.loads.want(want("a1"))
-        tending = asyncio.create_task(world.tend())
+        await world.loads.provide_artifact(want("a1"))
+        tending = asyncio.create_task(world.run_upkeep())
         # Somebody else's load is due to be asked about while copies of a2's
         # are sent: four of them unheard, and carried out after 2 s and more.
         engine.note_under_way("base/other", world.loop.time() - 0.95)
-        world.channels.fates.extend([2.0, 3.0, 10.0, 11.0])
-        await world.loads.want(want("a2"))
+        world.channels.unanswered_delays.extend([2.0, 3.0, 10.0, 11.0])
+        await world.loads.provide_artifact(want("a2"))
         await asyncio.sleep(3.0)
         await replace(world.loads.engine_loads, world, "a2")
         for adapter in ("a3", "a4"):
-            assert (await world.loads.want(want(adapter))).upstream == "u0"
+            assert (
+                await world.loads.provide_artifact(want(adapter))
+            ).upstream == "u0"
         await asyncio.sleep(9.0)
         tending.cancel()
         sent = world.channels.orders
         assert all("expected_revision" in order for order in sent)
-        assert not world.simulated[0].fell
+        assert not world.simulated[0].is_overfull
 
     async def test_one_that_was_not_sent_was_not_refused(self) -> None:
         # Without a holder of its lease for a moment, an engine was taken for
         # one that had refused an order, and got none for 0.8 s.
         world = EngineWorld(1, 3)
-        await world.loads.want(want("a1"))
+        await world.loads.provide_artifact(want("a1"))
         engine = world.placement.engines["u0"]
         authority, world.authority = world.authority, None
         verdict = await world.orders.give(Action.LOAD, engine, "base/a2")
--- a/testing/app/test_order_leases.py
+++ b/testing/app/test_order_leases.py
@@ -90,7 +90,7 @@
         holder = world.holder_of("10.0.1.0:80")
         world.isolate(holder, inbound=False, outbound=True)
         await asyncio.sleep(10.0)
-        world.cut.clear()
+        world.cut_links.clear()
         await asyncio.sleep(5.0)
         assert world.holder_of("10.0.1.0:80") != holder
         assert not find_violations(world.orders)
@@ -145,7 +145,7 @@
     for name in names:
         world.isolate(name, inbound=inbound, outbound=outbound)
     await asyncio.sleep(rng.uniform(0.2, 5.0))
-    world.cut.clear()
+    world.cut_links.clear()
 
 
 async def check(seed: int) -> None:
@@ -153,7 +153,7 @@
     world = await play(seed)
     now = asyncio.get_running_loop().time()
     assert not find_violations(world.orders)
-    assert not any(engine.fell for engine in world.engines)
+    assert not any(engine.is_overfull for engine in world.engines)
     recent = {o.engine for o in world.orders if o.at > now - 4.0}
     assert len(recent) == len(world.engines)
     world.stop()
--- a/testing/app/test_ownerless_reports.py
+++ b/testing/app/test_ownerless_reports.py
@@ -86,10 +86,12 @@
         world = Ownerless()
         since = asyncio.get_running_loop().time()
         sent = Sent({"alice": RateUse(1000, 1000)}, {}, since)
-        world.clients["f3"].reports.add(sent)
+        world.clients["f3"].pending_reports.add(sent)
         for _ in range(30):
             await asyncio.sleep(0.1)
-            kept = [c.reports.count("alice") for c in world.clients.values()]
+            kept = [
+                c.pending_reports.count("alice") for c in world.clients.values()
+            ]
             assert sum(kept) == 1000
         world.stop()
 
--- a/testing/app/test_upstream_words.py
+++ b/testing/app/test_upstream_words.py
@@ -128,7 +128,7 @@
             await asyncio.sleep(0.2)
             return ArtifactReady(name, 1)
 
-        world.fleet.want = want  # type: ignore[method-assign]
+        world.fleet.request_artifact = want  # type: ignore[method-assign]
         client, second = await world.open(), await world.open()
         await client.send("/stream/x", **STREAM)
         await asyncio.sleep(0.1)
--- a/testing/explorer/weighed.py
+++ b/testing/explorer/weighed.py
@@ -38,16 +38,16 @@
     loading_model: str = ""
     model_at: float = 0.0
 
-    def settle(self, now: float) -> None:
+    def complete_due(self, now: float) -> None:
         """Lets loads and unloads end that are due."""
         if self.loading_model and now >= self.model_at:
             self.models.add(self.loading_model)
             self.loading_model = ""
         super().settle(now)
 
-    def order(self, body: dict[str, Any], now: float) -> int:
+    def handle_order(self, body: dict[str, Any], now: float) -> int:
         """Carries out an order; returns the status of its answer."""
-        self.settle(now)
+        self.complete_due(now)
         model, adapter = body["model"], body.get("adapter")
         if body.get("expected_revision") not in (None, self.taken):
             return _CONFLICT
@@ -57,8 +57,10 @@
             return _BAD_REQUEST
         if self.loading_model:
             return _CONFLICT
-        status = super().order({**body, "adapter": f"{model}/{adapter}"}, now)
-        self.fell = self.fell or self._weight() > _ROOM_MB
+        status = super().order(
+            {**body, "adapter": f"{model}/{adapter}"}, now
+        )
+        self.is_overfull = self.is_overfull or self._weight() > _ROOM_MB
         return status
 
     def _order_model(self, model: str, now: float) -> int:
@@ -71,7 +73,7 @@
         self.taken += 1
         self.loading_model = model
         self.model_at = now + _MODEL_SECONDS
-        self.fell = self.fell or self._weight() > _ROOM_MB
+        self.is_overfull = self.is_overfull or self._weight() > _ROOM_MB
         return 202
 
     def _weight(self) -> float:
--- a/testing/explorer/world.py
+++ b/testing/explorer/world.py
@@ -145,7 +145,7 @@
         control.driver = LogDriver(
             self._storage,
             lambda _to, _message: None,
-            control.note_applied,
+            control.notify_applied,
             _TIMING,
             run_blocking=_run_inline,
             rng=random.Random(self.rng.random()),
@@ -162,7 +162,7 @@
             lambda: self._time_of_day_ms() / 1000,
         )
         make = make_weighed_table if self._weighed else make_table
-        owner.note_table(make(_SERVICE, PLACES))
+        owner.apply_table(make(_SERVICE, PLACES))
         works = (control.driver.run(), owner.run(), owner.holder.run())
         self._node_tasks = [asyncio.ensure_future(work) for work in works]
         return owner
@@ -200,7 +200,7 @@
         if now < machine.deaf_until:
             return SimulatedExchange(0, b"")
         expected = dict(request.headers)[b"expect-instance"].decode()
-        if machine.engine.fell:
+        if machine.engine.is_overfull:
             raise ChannelError("connect", address, "refused", sent=False)
         if request.method == b"GET":
             said = {**machine.engine.report(now), "born": machine.start}
@@ -227,9 +227,9 @@
         self, machine: Machine, expected: str, body: dict[str, Any]
     ) -> int:
         engine = machine.engine
-        if engine.name != expected or engine.fell:
+        if engine.name != expected or engine.is_overfull:
             return 421
-        status = engine.order(body, self.loop.time())
+        status = engine.handle_order(body, self.loop.time())
         self._note(
             f"{machine.address} {body['operation']}"
             f" {body.get('adapter') or body['model']}"
@@ -301,8 +301,10 @@
         engine = self.machines[number].engine
         if engine.held:
             adapter = self.rng.choice(sorted(engine.held))
-            engine.used.add(adapter)
-            self.loop.call_later(_USE_SECONDS, engine.used.discard, adapter)
+            engine.adapters_in_use.add(adapter)
+            self.loop.call_later(
+                _USE_SECONDS, engine.adapters_in_use.discard, adapter
+            )
 
     async def _beat(self) -> None:
         while True:
@@ -312,9 +314,9 @@
 
     def _beat_once(self, machine: Machine) -> None:
         engine = machine.engine
-        if engine.fell:
+        if engine.is_overfull:
             return
-        engine.settle(self.loop.time())
+        engine.complete_due(self.loop.time())
         machine.sequence += 1
         said = {
             "service": _SERVICE,
@@ -339,7 +341,7 @@
 
     def _hear(self, name: str, body: bytes) -> None:
         if self.owner.is_owner():
-            self.owner.take_heartbeat(read_heartbeat(name, body))
+            self.owner.handle_heartbeat(read_heartbeat(name, body))
 
     # -- callers -------------------------------------------------------
 
@@ -377,9 +379,11 @@
             if self.owner.is_owner():
                 for engine in self.owner._placement.engines.values():
                     machine = self._machine_of(engine.address)
-                    used = map(machine.engine.artifact, machine.engine.used)
+                    used = map(
+                        machine.engine.artifact, machine.engine.adapters_in_use
+                    )
                     using[engine.name] = dict.fromkeys(used, 1)
-                self.owner._note_front(
+                self.owner._record_front(
                     "f1", WatchFleet(0, 0, 0.0, True, {}, using)
                 )
             for machine in self.machines:
@@ -415,14 +419,14 @@
 
     def find_fallen(self) -> list[str]:
         """Returns the engines that were ordered over their places."""
-        return [m.engine.name for m in self.machines if m.engine.fell]
+        return [m.engine.name for m in self.machines if m.engine.is_overfull]
 
     def find_untrue_books(self) -> list[str]:
         """Returns where the owner's books differ from the engines' truth."""
         found = []
         for machine in self.machines:
             engine = machine.engine
-            engine.settle(self.loop.time())
+            engine.complete_due(self.loop.time())
             books = self._find_books(machine)
             if books is None:
                 found.append(f"{engine.name} isn't known")
--- a/testing/soak/upstreams.py
+++ b/testing/soak/upstreams.py
@@ -322,16 +322,16 @@
         if "adapter" not in body:
             await made.answer(200)
             return
-        await made.answer(self.engine.order(body, now), b"{}")
+        await made.answer(self.engine.handle_order(body, now), b"{}")
 
     async def _stream(self, made: Call) -> None:
-        self.engine.settle(time.monotonic())
+        self.engine.complete_due(time.monotonic())
         adapter = made.header("model").partition("/")[2]
         if adapter not in self.engine.held:
             await made.answer(421, b"", _NOT_RUN)
             return
         self._ledger.note_run(made)
-        self.engine.used.add(adapter)
+        self.engine.adapters_in_use.add(adapter)
         try:
             await made.begin_stream(*self._say(made))
             for number in range(1, _EVENTS + 1):
@@ -339,7 +339,7 @@
                 await made.event(number)
             await made.end_stream()
         finally:
-            self.engine.used.discard(adapter)
+            self.engine.adapters_in_use.discard(adapter)
 
 
 MODELS = [
