--- a/testing/explorer/mutants.py
+++ b/testing/explorer/mutants.py
@@ -141,7 +141,7 @@
 def _newcomers_trusted() -> Iterator[None]:
     """A successor that knew nobody orders engines that began just now."""
     with mock.patch.object(
-        FleetEngines, "_may_have_begun_lately", lambda *_: False
+        FleetEngines, "_may_have_started_recently", lambda *_: False
     ):
         yield
 
--- a/testing/explorer/weighed.py
+++ b/testing/explorer/weighed.py
@@ -43,7 +43,7 @@
         if self.loading_model and now >= self.model_at:
             self.models.add(self.loading_model)
             self.loading_model = ""
-        super().settle(now)
+        super().complete_due(now)
 
     def handle_order(self, body: dict[str, Any], now: float) -> int:
         """Carries out an order; returns the status of its answer."""
@@ -57,7 +57,7 @@
             return _BAD_REQUEST
         if self.loading_model:
             return _CONFLICT
-        status = super().order(
+        status = super().handle_order(
             {**body, "adapter": f"{model}/{adapter}"}, now
         )
         self.is_overfull = self.is_overfull or self._weight() > _ROOM_MB
--- a/testing/soak/checks.py
+++ b/testing/soak/checks.py
@@ -99,7 +99,7 @@
         _judge_named_limits(verdict, world, name, heard)
     for upstream in world.upstreams:
         engine = getattr(upstream, "engine", None)
-        if engine is not None and engine.fell:
+        if engine is not None and engine.is_overfull:
             verdict.note("overfull", upstream.name)
     return verdict
 
