--- a/src/ridgesill/app/fleet_upkeep.py
+++ b/src/ridgesill/app/fleet_upkeep.py
@@ -1,4 +1,4 @@
-"""What engines should hold without being asked: models, copies, versions."""
+"""Loads and unloads that no request asks for: models, copies, new versions."""
 
 import asyncio
 from collections.abc import Callable
@@ -10,31 +10,33 @@
 from ridgesill.core.fleet.model_rate import ModelRate
 from ridgesill.core.fleet.placement import Choice, Placement, Survey
 
-# How often copies are thought of, in seconds: all counts are looked at, and
-# fronts report what they use a few times a second.
-_SPREAD_SECONDS = 0.3
-# How long before its first order an owner asks engines what they hold, in
-# seconds: a report takes some milliseconds, and is asked for once.
-_PREPARE_SECONDS = 0.3
-# How often an engine is asked for the same report, in seconds: one that takes
-# an order each tenth of a second seldom has one from after the last.
-_ASK_SECONDS = 0.4
-# How long replacements wait for requests on the old version to end, in seconds:
-# an engine that waits for them takes no other order. No new ones go there, and
-# the longest time-outs are 12 s. After 2.5 s one engine of six was blocked for
-# two to five seconds on most played days.
-_REPLACE_PATIENCE = 12.0
+# Interval between decisions on further copies, in seconds: each one reads all
+# usage counts, and fronts report their usage a few times a second.
+_COPIES_INTERVAL_SECONDS = 0.3
+# How long before an owner may send its first order it asks engines for their
+# reports, in seconds; a report takes a few milliseconds.
+_ASK_AHEAD_SECONDS = 0.3
+# Minimum time between two requests for an engine's report, in seconds. An
+# engine that gets an order every 0.1 s seldom has a report newer than the last
+# order, so it would be asked all the time.
+_ASK_INTERVAL_SECONDS = 0.4
+# How long a replacement waits for requests on the old version to end, in
+# seconds: an engine that waits for them itself accepts no other order. No new
+# requests use the old version, and the longest time-outs are 12 s. With 2.5 s,
+# one engine of six was often blocked for two to five seconds.
+_REPLACE_PATIENCE_SECONDS = 12.0
 
 
 class FleetUpkeep:
-    """Tends engines a few times a second.
+    """Keeps engines supplied with models, copies and current versions.
 
     Args:
-        placement: which adapters deserve copies.
-        orders: asks engines what they hold.
-        loads: has engines load and unload.
-        view: what it needs to know of the owner.
-        survey: returns a basis for choices among a service's engines.
+        placement: knows how often each adapter is used.
+        orders: asks engines for their reports.
+        loads: sends load and unload orders to engines.
+        view: the owner's state of engines, versions and usage.
+        survey: returns the state of a service's engines on which choices among
+            them are based.
     """
 
     def __init__(
@@ -51,46 +53,60 @@
         self._view = view
         self._survey = survey
         self._loop = asyncio.get_running_loop()
-        self._rate = ModelRate()
-        self._spread_at: dict[str, float] = {}
+        self._load_rate = ModelRate()
+        self._copies_at: dict[str, float] = {}
         self._replace_since: dict[tuple[str, str], float] = {}
 
     def maintain(self, service: str, models: tuple[str, ...]) -> None:
-        """Asks engines what they hold, and mends what they lack."""
+        """Asks engines for reports and sends the orders that are due.
+
+        Called a few times a second.
+
+        Args:
+            service: service of the engines.
+            models: models of the service; an engine without any loads them.
+        """
         now = self._loop.time()
         orders_in = self._view.orders_from() - now
-        if orders_in > _PREPARE_SECONDS:
+        if orders_in > _ASK_AHEAD_SECONDS:
             return
         for engine in self._view.engines(service):
             if not engine.can_order(now) or engine.is_busy():
                 continue
             if self._is_known(engine, now) and orders_in <= 0:
-                self._mend(service, engine, models, now)
+                self._start_most_urgent(service, engine, models, now)
         if orders_in <= 0:
-            self._spread(service, now)
+            self._load_copies(service, now)
 
     def _is_known(self, engine: Engine, now: float) -> bool:
-        """Whether it is known what an engine holds; else has it asked."""
-        if engine.must_ask(now) and now >= engine.asked_at + _ASK_SECONDS:
+        """Whether an engine's artifacts are known; requests a due report."""
+        if (
+            engine.must_ask(now)
+            and now >= engine.asked_at + _ASK_INTERVAL_SECONDS
+        ):
             self._loads.spawn(self._orders.prepare(engine))
         return engine.revision is not None or bool(engine.loading)
 
-    def _mend(
+    def _start_most_urgent(
         self, service: str, engine: Engine, models: tuple[str, ...], now: float
     ) -> None:
-        """Does the most urgent thing that an engine needs."""
+        """Starts the most urgent order for an engine, if it needs any.
+
+        In this order: unload if it holds too much, load a model if it has
+        none, replace an adapter of an old version.
+        """
         if engine.free_places() < 0:
-            self._make_room(service, engine)
+            self._unload_excess(service, engine)
         elif not any(engine.has_model(model) for model in models):
-            self._begin_model(engine, models, now)
+            self._begin_model_loads(engine, models, now)
         else:
-            self._renew_old(service, engine, now)
+            self._renew_outdated(service, engine, now)
 
-    def _spread(self, service: str, now: float) -> None:
-        """Loads copies of much wanted adapters."""
-        if now < self._spread_at.get(service, now):
+    def _load_copies(self, service: str, now: float) -> None:
+        """Loads further copies of adapters in high demand."""
+        if now < self._copies_at.get(service, now):
             return
-        self._spread_at[service] = now + _SPREAD_SECONDS
+        self._copies_at[service] = now + _COPIES_INTERVAL_SECONDS
         survey = self._survey(service)
         for artifact, choice in choose_copies(
             self._placement.popularity, survey
@@ -100,25 +116,25 @@
             version = self._view.version(artifact)
             self._loads.spawn(self._loads.load(choice, artifact, version))
 
-    def _make_room(self, service: str, engine: Engine) -> None:
-        """Unloads from an engine that is believed to hold too much."""
+    def _unload_excess(self, service: str, engine: Engine) -> None:
+        """Unloads an artifact from an engine that holds too many."""
         if engine.loading or engine.leaving:
             return
         victim = self._survey(service).victim(engine)
         if victim is not None:
-            self._let_go(engine, victim)
+            self._begin_unload(engine, victim)
 
-    def _let_go(self, engine: Engine, artifact: str) -> None:
+    def _begin_unload(self, engine: Engine, artifact: str) -> None:
         self._loads.let_go(engine, artifact)
         self._loads.spawn(self._loads.unload(engine, artifact))
 
-    def _begin_model(
+    def _begin_model_loads(
         self, engine: Engine, models: tuple[str, ...], now: float
     ) -> None:
         for model in models:
             if engine.loading or not engine.has_room(model):
                 return
-            if not self._rate.take(engine.spec.loads_per_second, now):
+            if not self._load_rate.take(engine.spec.loads_per_second, now):
                 return
             choice = Choice(engine)
             self._loads.reserve(choice, model)
@@ -126,22 +142,22 @@
 
     # -- new versions --------------------------------------------------
 
-    def _renew_old(self, service: str, engine: Engine, now: float) -> None:
-        """Replaces or unloads one adapter of which a newer version is named."""
+    def _renew_outdated(self, service: str, engine: Engine, now: float) -> None:
+        """Replaces or unloads one adapter for which a newer version exists."""
         for artifact, held in list(engine.held.items()):
             version = self._view.version(artifact)
             if held.version >= version or artifact in engine.loading:
                 continue
-            if self._may_renew(engine, artifact, now):
+            if self._can_renew(engine, artifact, now):
                 self._renew(service, engine, artifact, version)
                 return
 
-    def _may_renew(self, engine: Engine, artifact: str, now: float) -> bool:
-        """Whether requests on the old version have ended, or had the time."""
+    def _can_renew(self, engine: Engine, artifact: str, now: float) -> bool:
+        """Whether no request uses the old version, or the patience is over."""
         key = (engine.name, artifact)
         since = self._replace_since.setdefault(key, now)
         in_use = artifact in self._view.using(engine.name)
-        if in_use and now - since < _REPLACE_PATIENCE:
+        if in_use and now - since < _REPLACE_PATIENCE_SECONDS:
             return False
         del self._replace_since[key]
         return True
@@ -155,8 +171,9 @@
             if artifact in other.held
         )
         if newer:
-            # A request has had it loaded elsewhere; a copy comes when needed.
-            self._let_go(engine, artifact)
+            # Another engine has the new version already; a copy is loaded here
+            # when it is needed.
+            self._begin_unload(engine, artifact)
             return
         self._loads.reserve(Choice(engine), artifact)
         self._loads.spawn(self._loads.replace(engine, artifact, version))
--- a/src/ridgesill/app/named_limits.py
+++ b/src/ridgesill/app/named_limits.py
@@ -1,4 +1,4 @@
-"""The owner's side of the limits that upstreams name."""
+"""The owner's enforcement of the rate limits that upstreams name."""
 
 from collections.abc import Collection, Mapping
 
@@ -14,28 +14,31 @@
 )
 from ridgesill.core.serving.rates import RateState, Uses
 
-# Over which what an upstream gets is judged, in seconds; none of what is borne
-# beyond its limit is used.
+# Window over which the requests to an upstream are counted, in seconds. No
+# excess over the limit is tolerated.
 _WINDOW_SECONDS = 4.0
 
 
 @attrs.frozen
 class LimitUse:
-    """What an operator is told of an upstream's limit.
+    """State of an upstream's rate limit as shown to operators.
 
     Attributes:
-        rate: requests a second that it named last.
-        allowed: that it may get a second now; more than that after its last
-            word, until it has its share again.
-        heard_by: the front that heard it last.
-        since: seconds since it first named one.
-        said: seconds since it last named this one.
-        is_over: whether it has answered without one since.
+        upstream: name of the upstream.
+        rate: limit that the upstream named last, in requests a second.
+        allowed: requests a second that it may get now; rises above `rate` step
+            by step once the upstream no longer names a limit.
+        heard_by: front that received the limit last.
+        since: seconds since the upstream first named a limit.
+        said: seconds since it last named this limit.
+        is_over: whether it has answered without a limit since.
         offers: requests a second that could go there.
-        share: of them that may pass; negative while fronts go by their parts.
-        level: what may be sent at once; negative once beyond.
-        refused: requests that went elsewhere or nowhere, since this owner
-            began.
+        share: share of these that may pass; negative while each front keeps to
+            its own part of the limit.
+        level: number of requests that may be sent at once; negative beyond the
+            limit.
+        refused: number of requests that weren't sent there because of the
+            limit since this owner took over.
     """
 
     upstream: str
@@ -52,10 +55,10 @@
 
 
 class NamedLimits:
-    """Keeps what fronts send upstreams within the limits that these name."""
+    """Rate limits that upstreams have named, enforced over all fronts."""
 
     def __init__(self) -> None:
-        self._known = UpstreamLimits()
+        self._limits = UpstreamLimits()
         self._ledger = self._make_ledger()
 
     @staticmethod
@@ -64,18 +67,30 @@
         return RateLedger(tolerance, learns_offers=True)
 
     def restore(self, view: FleetView, now: float) -> None:
-        """Goes on from what an earlier owner told."""
+        """Restores limits and rate states from an earlier owner's news.
+
+        Args:
+            view: view to which this news was applied.
+            now: clock time, in seconds.
+        """
         self._ledger = self._make_ledger()
-        self._known = UpstreamLimits()
-        self._known.merge(view.limits, view.updated_at)
+        self._limits = UpstreamLimits()
+        self._limits.merge(view.limits, view.updated_at)
         self._set_quotas(now)
         self._ledger.restore(view.sends, view.updated_at, now)
 
-    def apply_limits(self, told: Mapping[str, NamedLimit], now: float) -> bool:
-        """Takes what fronts have heard; returns whether that is news."""
-        if not told or not self._known.merge(told, now):
+    def apply_limits(
+        self, reported: Mapping[str, NamedLimit], now: float
+    ) -> bool:
+        """Applies the limits that fronts report; returns whether any changed.
+
+        Args:
+            reported: limits by upstream.
+            now: clock time, in seconds.
+        """
+        if not reported or not self._limits.merge(reported, now):
             return False
-        for upstream, limit in told.items():
+        for upstream, limit in reported.items():
             log_message(
                 "fleet:limit",
                 upstream=upstream,
@@ -87,46 +102,62 @@
         return True
 
     def record_sends(self, sends: Uses, now: float, span: float) -> list[str]:
-        """Takes what fronts report; returns the upstreams of absurd sums."""
+        """Counts the requests that fronts report as sent.
+
+        Args:
+            sends: uses by upstream.
+            now: clock time, in seconds.
+            span: seconds since the first of these requests was sent.
+
+        Returns:
+            The upstreams whose counts are implausibly large.
+        """
         return self._ledger.record_uses(sends, now, span)
 
     def update(
         self, fronts: int, upstreams: Collection[str], now: float
     ) -> None:
-        """Forgets limits that are over; called a few times a second."""
+        """Updates the limits in force; called a few times a second.
+
+        Args:
+            fronts: number of fronts that report.
+            upstreams: names of the upstreams that exist; limits of others are
+                dropped.
+            now: clock time, in seconds.
+        """
         self._ledger.record_fronts(fronts, now)
-        if self._known:
-            self._known.keep_only(upstreams, now)
+        if self._limits:
+            self._limits.keep_only(upstreams, now)
             self._set_quotas(now)
 
     def _set_quotas(self, now: float) -> None:
-        rates = self._known.rates(now)
+        rates = self._limits.rates(now)
         self._ledger.set_quotas({u: make_quota(r) for u, r in rates.items()})
 
     def has_any(self) -> bool:
-        """Whether any upstream is limited."""
-        return bool(self._known)
+        """Whether any limit is known."""
+        return bool(self._limits)
 
     def is_limited(self, upstream: str, now: float) -> bool:
-        """Whether an upstream takes only so many requests now."""
-        return self._known.rate(upstream, now) is not None
+        """Whether requests to an upstream are limited now."""
+        return self._limits.rate(upstream, now) is not None
 
     def current_limits(self, now: float) -> dict[str, NamedLimit]:
-        """Returns the limits, to be told fronts."""
-        return self._known.tell(now)
+        """Returns the known limits by upstream, for news to fronts."""
+        return self._limits.tell(now)
 
     def states(self, now: float) -> dict[str, RateState]:
-        """Returns what may be sent of them, to be told fronts."""
+        """Returns the rate states by upstream, for news to fronts."""
         return self._ledger.states(now)
 
     def overview(self, now: float) -> list[LimitUse]:
-        """Returns all limits, for operators."""
+        """Returns all limits in force, for operators."""
         uses = {use.name: use for use in self._ledger.overview(now)}
         return [
             LimitUse(
                 upstream,
                 limit.rate,
-                round(self._known.rate(upstream, now) or limit.rate, 2),
+                round(self._limits.rate(upstream, now) or limit.rate, 2),
                 limit.heard_by,
                 round(limit.since_ago, 1),
                 round(limit.said_ago, 1),
@@ -136,6 +167,6 @@
                 uses[upstream].level,
                 uses[upstream].refused,
             )
-            for upstream, limit in self._known.tell(now).items()
+            for upstream, limit in self._limits.tell(now).items()
             if upstream in uses
         ]
--- a/src/ridgesill/app/news_relay.py
+++ b/src/ridgesill/app/news_relay.py
@@ -1,4 +1,4 @@
-"""Passes the fleet owner's news on to the fronts of its data centre."""
+"""Relay that passes the fleet owner's news on to fronts."""
 
 import asyncio
 from collections.abc import Callable
@@ -13,10 +13,10 @@
 from ridgesill.core.fleet.use_reports import ReceivedReports, Sent, UseReport
 from ridgesill.core.serving.limits import UpstreamLimits
 
-# Least time between two answers with news to the same asker, in seconds, and
-# for each process that asks: what changes in between is told in one answer.
-_NEWS_SECONDS = 0.1
-_NEWS_SECONDS_AN_ASKER = 0.001
+# Minimum time between two answers to the same asker, in seconds, and what each
+# asking process adds to it. One answer holds all changes in between.
+_NEWS_INTERVAL_SECONDS = 0.1
+_NEWS_INTERVAL_SECONDS_PER_ASKER = 0.001
 
 
 async def wait_for_news(
@@ -25,13 +25,15 @@
     wait: float,
     askers: int,
 ) -> None:
-    """Waits until there is something to tell, or an asker must be answered.
+    """Waits until there is news or the asker's wait is over.
+
+    Waits at least the minimum time between two answers.
 
     Args:
-        has_news: whether there is something.
-        changed: noted when there may be.
-        wait: seconds that the asker waits without news.
-        askers: how many processes ask here.
+        has_news: returns whether there is news for the asker.
+        changed: signals that there may be news.
+        wait: longest wait without news, in seconds.
+        askers: number of processes that ask this node.
     """
     loop = asyncio.get_running_loop()
     began = loop.time()
@@ -39,12 +41,15 @@
         left = began + wait - loop.time()
         if left <= 0 or not await changed.within(left):
             break
-    spacing = _NEWS_SECONDS + _NEWS_SECONDS_AN_ASKER * askers
+    spacing = _NEWS_INTERVAL_SECONDS + _NEWS_INTERVAL_SECONDS_PER_ASKER * askers
     await asyncio.sleep(max(began + spacing - loop.time(), 0.0))
 
 
 def extract_usage(question: WatchFleet) -> UsageReport:
-    """Returns what an asker says of the fronts that it speaks for."""
+    """Returns the usage that an asker reports for its fronts.
+
+    Amounts sent under rates and named limits aren't part of it.
+    """
     return UsageReport(
         question.used,
         question.busy,
@@ -55,51 +60,58 @@
 
 
 def extract_sent(report: UseReport, now: float) -> Sent:
-    """Returns what a report says was sent under rates."""
+    """Returns the amounts in a use report, with their time on this clock."""
     return Sent(report.uses, report.sends, now - report.span)
 
 
 class NewsRelay:
-    """Asks the owner once for all fronts that ask here.
+    """Answers fronts with the owner's news and sums up their reports.
 
     Args:
-        fleet: this node's link to the owner.
+        fleet: this node's client, which asks the owner.
     """
 
     def __init__(self, fleet: FleetClient) -> None:
         self._fleet = fleet
         self._usage = Usage()
         self._used: dict[str, int] = {}
-        self._taken = ReceivedReports()
-        # That fronts here have heard upstreams name.
+        self._received = ReceivedReports()
+        # Limits that upstreams have named to the fronts that ask here.
         self._limits = UpstreamLimits()
         self._news = RelayedNews(fleet.view)
         self._view = fleet.view
         self._changed = ChangeSignal()
         self._loop = asyncio.get_running_loop()
-        fleet.watch_news(self._take)
+        fleet.watch_news(self._apply_news)
 
-    def _take(self, news: FleetNews) -> None:
+    def _apply_news(self, news: FleetNews) -> None:
         self._news.apply_news(news)
         self._limits.keep_only(self._view.upstreams, self._loop.time())
         self._changed.note()
 
     def make_usage_report(self) -> UsageReport:
-        """Returns what the fronts here use, to be told the owner."""
+        """Returns the usage of the fronts that ask here, for the owner."""
         now = self._loop.time()
         self._usage.prune_silent(now)
-        self._taken.prune_silent(now)
+        self._received.prune_silent(now)
         used, self._used = self._used, {}
         return self._usage.make_report(used, self._limits.tell(now), now)
 
     async def handle_watch(
         self, sender: str, question: WatchFleet
     ) -> FleetNews:
-        """Answers a front; epoch 0 says that it should ask the owner."""
+        """Answers a front's question.
+
+        Epoch 0 in the answer tells the front to ask the owner itself.
+
+        Args:
+            sender: name of the asker, unique for each of its starts.
+            question: the question.
+        """
         now = self._loop.time()
         is_current = self._news.is_current(now)
         is_known = is_current and self._news.can_answer(question)
-        taken = self._note_front(
+        taken = self._record_question(
             sender,
             question,
             accepts=is_known and not question.is_relayed,
@@ -121,10 +133,19 @@
             return FleetNews(0, taken=taken)
         return attrs.evolve(self._news.make_news(question, now), taken=taken)
 
-    def _note_front(
+    def _record_question(
         self, sender: str, question: WatchFleet, *, accepts: bool
     ) -> tuple[int, ...]:
-        """Takes what an asker says; returns the reports that were taken."""
+        """Records the reports in a question.
+
+        Args:
+            sender: name of the asker.
+            question: the question.
+            accepts: whether this node accepts reports now.
+
+        Returns:
+            The numbers of the use reports that this node has accepted.
+        """
         now = self._loop.time()
         if accepts or not question.is_front:
             self._usage.record_report(sender, extract_usage(question), now)
@@ -132,7 +153,7 @@
             self._limits.merge(question.limits, now)
             for artifact, count in question.used.items():
                 self._used[artifact] = self._used.get(artifact, 0) + count
-        return self._taken.handle_reports(
+        return self._received.handle_reports(
             sender,
             question.reports,
             now,
--- a/src/ridgesill/core/fleet/__init__.py
+++ b/src/ridgesill/core/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""The upstreams: what is known of them, and what they are ordered to hold."""
+"""State of the upstreams and orders for the artifacts that they hold."""
--- a/src/ridgesill/core/fleet/lateness.py
+++ b/src/ridgesill/core/fleet/lateness.py
@@ -1,8 +1,9 @@
-"""How likely those who wait for an adapter are late on each engine.
+"""Predicted lateness of the requests that wait for an adapter, by engine.
 
-Load pattern: long prompts that miss. The load takes a third of their goal and
-the reading another third, so that one more prompt ahead on the engine that is
-chosen makes them late, however idle the other engines are.
+Load pattern: long prompts whose adapter no engine holds. Loading the adapter
+takes a third of the time until their goal and reading the prompt (prefill)
+another third, so one more prompt ahead on the chosen engine makes them late,
+however idle the other engines are.
 """
 
 import math
@@ -18,15 +19,16 @@
 )
 from ridgesill.core.serving.rank import rank_request
 
-# Spread of what becomes of a prediction, in seconds: emulated, the first event
-# comes 0.07 to 0.14 beside it, more where the prompt is long.
+# Spread of the actual first event around the prediction, in seconds: the error
+# is 0.07 to 0.14 s, larger for long prompts.
 _SPREAD_SECONDS = 0.07
-# Beyond so many spreads there is no doubt.
-_SURE = 20.0
+# Bound on the distance from the goal, in spreads; beyond it the probability is
+# 0 or 1.
+_MAX_SPREADS = 20.0
 
 
 def make_waiter(want: WantArtifact, backlogs: Backlogs, now: float) -> Waiter:
-    """Returns a request as one that waits from now on."""
+    """Returns the entry of a request that begins to wait for an artifact."""
     return Waiter(
         now + want.goal,
         backlogs.mean_read_seconds(want.tokens),
@@ -36,24 +38,32 @@
 
 
 def load_seconds(engine: Engine, artifact: str) -> float:
-    """Returns how long an engine takes to have an adapter."""
+    """Returns how long an engine takes to load an adapter, in seconds.
+
+    An adapter that the engine unloaded recently loads faster.
+    """
     return RELOAD_SECONDS if engine.had_lately(artifact) else LOAD_SECONDS
 
 
 def late_probability(slack: float) -> float:
-    """Returns how likely a request is late.
+    """Returns the probability that a request is late.
 
     Args:
-        slack: seconds between the predicted first event and the goal.
+        slack: seconds from the predicted first event until the goal; negative
+            if the prediction is late.
     """
-    spreads = min(max(slack / _SPREAD_SECONDS, -_SURE), _SURE)
+    spreads = min(max(slack / _SPREAD_SECONDS, -_MAX_SPREADS), _MAX_SPREADS)
     return 1.0 / (1.0 + math.exp(spreads))
 
 
 def expected_late_count(
     waiting: Waiting, engine: Engine, backlogs: Backlogs, now: float
 ) -> float:
-    """Returns how many of those who wait would be late on an engine."""
+    """Returns how many of the waiting requests would be late on an engine.
+
+    It is the sum of their probabilities if they are read there one after the
+    other, behind the engine's backlog.
+    """
     arrives_in = load_seconds(engine, waiting.want.artifact)
     late = 0.0
     before = 0.0
--- a/src/ridgesill/core/fleet/messages.py
+++ b/src/ridgesill/core/fleet/messages.py
@@ -1,4 +1,8 @@
-"""Messages on upstreams between heartbeats' receivers, owner and fronts."""
+"""Messages about upstreams between nodes, the fleet owner and fronts.
+
+Nodes that receive heartbeats pass them on to the owner. Fronts, and relays for
+their fronts, ask the owner for news and report their usage with each question.
+"""
 
 import attrs
 
@@ -14,19 +18,23 @@
 @register
 @attrs.frozen
 class Heartbeat:
-    """What an upstream says of itself.
+    """Periodic status report of an upstream.
 
     Attributes:
-        name: of this start; another start has another.
-        slots: requests that it works on at once.
-        sequence: rises with each heartbeat; an older one is passed over.
+        name: unique name of this start of the upstream.
+        service: service that the upstream belongs to.
+        address: `host:port` for requests.
+        data_centre: data centre of the upstream's VM.
+        slots: number of requests that it processes at once.
+        draining: whether it accepts no new requests.
+        sequence: increases with each heartbeat; lower ones are ignored.
         resident: versions of the models (`model`) and adapters
             (`model/adapter`) that it holds; None for a plain service.
-        gone_in: seconds until it is gone; None when it doesn't say.
-        instance: what it calls itself, at each of its starts; empty when that
-            is its name.
-        start: rises with each of its starts; 0 when it doesn't tell.
-        unknown: fields that nothing here reads.
+        gone_in: seconds until it shuts down; None if not announced.
+        instance: the upstream's name for itself, the same over restarts; empty
+            if that is `name`.
+        start: increases with each restart; 0 if the upstream sends none.
+        unknown: names of received fields that this version doesn't know.
     """
 
     name: str
@@ -44,14 +52,14 @@
 
     @property
     def identity(self) -> str:
-        """What it calls itself, at each of its starts."""
+        """The instance name, the same over restarts."""
         return self.instance or self.name
 
 
 @register
 @attrs.frozen
 class HeardHeartbeat:
-    """A heartbeat that another node passes on to the owner."""
+    """Forwards a heartbeat to the owner."""
 
     heartbeat: Heartbeat
 
@@ -59,11 +67,11 @@
 @register
 @attrs.frozen
 class HeardLeave:
-    """An upstream's word that it is leaving, passed on to the owner.
+    """Forwards an upstream's announcement that it is leaving to the owner.
 
     Attributes:
-        name: what it calls itself.
-        start: which of its starts; 0 when it doesn't tell.
+        name: instance name of the upstream.
+        start: start number; 0 if the upstream sends none.
     """
 
     name: str
@@ -73,20 +81,26 @@
 @register
 @attrs.frozen
 class Taken:
-    """The owner has taken what was passed on."""
+    """Confirms that the owner has applied a forwarded message."""
 
 
 @register
 @attrs.frozen
 class Upstream:
-    """An upstream as the fronts know it.
+    """Record of an upstream, sent to fronts.
 
     Attributes:
-        resident: versions by `model` or `model/adapter`.
-        instance: what it calls itself, at each of its starts.
-        start: rises with each of its starts; 0 when it doesn't tell.
-        has_strays: whether orders of an earlier start may run on this one,
-            which a successor of the owner that gave them doesn't know.
+        name: unique name of this start of the upstream.
+        service: service that the upstream belongs to.
+        address: `host:port` for requests.
+        data_centre: data centre of the upstream's VM.
+        slots: number of requests that it processes at once.
+        state: `READY` or `DRAINING`.
+        resident: versions held, by `model` or `model/adapter`.
+        instance: the upstream's name for itself, the same over restarts.
+        start: increases with each restart; 0 if the upstream sends none.
+        has_strays: whether orders to an earlier start may still run on this
+            one. The next owner doesn't know orders that its predecessor sent.
     """
 
     name: str
@@ -104,13 +118,15 @@
 @register
 @attrs.frozen
 class UpstreamChange:
-    """One change of what is known.
+    """One change of an upstream.
 
     Attributes:
-        record: the whole record, when the upstream itself is new or changed.
-        gone: whether it is to be forgotten.
-        added: versions that it holds now.
-        removed: what it holds no more.
+        name: name of the upstream.
+        record: the full record if the upstream is new or its own fields have
+            changed; None otherwise.
+        gone: whether the upstream is removed.
+        added: new versions by artifact that it holds.
+        removed: artifacts that it no longer holds.
     """
 
     name: str
@@ -123,23 +139,24 @@
 @register
 @attrs.frozen
 class WatchFleet:
-    """Asks the owner for what has changed.
+    """Long-poll question to the owner or a relay, with a usage report.
 
     Attributes:
-        epoch: of the owner that `number` is from; 0 at the start.
-        number: of the last change known.
-        wait: seconds after which the owner answers with nothing new.
-        is_front: whether it speaks for fronts.
+        epoch: epoch of the owner that counted `number`; 0 before any news.
+        number: number of the last change that the asker has.
+        wait: seconds after which an answer comes even without news.
+        is_front: whether the asker reports for fronts.
         used: requests by artifact since the last question.
         busy: requests in progress from these fronts, by upstream and artifact.
-        fronts: how many fronts it speaks for.
-        reported_ago: seconds since each of them has reported.
-        resting: at how many of them an upstream wants no requests.
-        reports: what was sent under rates, each until it is taken.
-        limits: that these fronts have heard upstreams name.
-        is_relayed: whether a relay asks for its fronts. Only the owner takes
-            its report: passed on by nodes that ask each other, it would count
-            again with each of them.
+        fronts: number of fronts that the asker reports for.
+        reported_ago: age in seconds of the oldest of their reports.
+        resting: number of these fronts that an upstream has asked to pause, by
+            upstream.
+        reports: uses of rates, each sent again until it is confirmed.
+        limits: rate limits that upstreams have named to these fronts.
+        is_relayed: whether a relay asks for its fronts. Only the owner accepts
+            such reports: if nodes that ask each other passed them on, each
+            would count them again.
     """
 
     epoch: int
@@ -159,22 +176,27 @@
 @register
 @attrs.frozen
 class FleetNews:
-    """Answers a `WatchFleet`.
+    """Answer to a `WatchFleet`.
 
     Attributes:
-        epoch: the owner's; 0 from a node that isn't the owner.
-        whole: whether `changes` make up everything known.
-        fronts: how many fronts ask.
-        busy: requests in progress by upstream, from all fronts.
-        settled: whether the owner has had the time to hear every upstream; one
-            that has just started knows none, though all may be there.
-        age: seconds since the owner said so, to the node that passes it on.
-        quotas: of the customers near their limits.
-        limits: that upstreams have named.
-        sends: what may be sent of what these limits allow, by upstream.
-        taken: numbers of the reports that the node has taken.
-        knows_uses: whether the owner knows what customers use. One that has
-            just begun without an earlier one's word would let all pass.
+        epoch: the owner's epoch; 0 from a node that can't answer for an owner.
+        number: number of the last change included.
+        whole: whether `changes` are the full state rather than a difference.
+        changes: changes of upstreams, in order.
+        fronts: number of fronts that report to the owner.
+        busy: requests in progress by upstream, over all fronts.
+        settled: whether the owner has had the time to receive a heartbeat from
+            every upstream. One that has just started knows none, even if all
+            of them run.
+        age: seconds since the relay received this news from the owner; 0
+            from the owner itself.
+        quotas: rate states of the customers near their limits.
+        limits: rate limits that upstreams have named.
+        sends: rate states of these limits, by upstream.
+        taken: numbers of the use reports that the node has accepted.
+        knows_uses: whether the owner knows how much customers use. One that
+            has just started without its predecessor's state would let
+            everything pass.
     """
 
     epoch: int
@@ -195,21 +217,23 @@
 @register
 @attrs.frozen
 class WantArtifact:
-    """Asks the owner to have an engine hold something.
+    """Asks the owner for an engine that holds an artifact, for one request.
 
     Attributes:
+        service: service of the engines.
         artifact: `model` or `model/adapter`.
-        version: at least this one; 0 for any.
-        avoid: upstreams that have just failed this request.
+        version: lowest version that will do; 0 for any.
+        avoid: names of the upstreams that the request must not go to, such as
+            those that have just failed it.
         patience: seconds that the request can wait.
-        data_centre: where the request came in.
-        goal: seconds until the answer's first event is late; negative when it
-            is late already.
-        request: its id.
-        tokens: of its prompt.
-        answer_tokens: the most that its answer may have.
-        is_held: whether the asker knows an upstream that holds it; it then
-            goes there by itself unless it is answered at once.
+        data_centre: data centre where the request arrived.
+        goal: seconds until the answer's first event is late; negative if it is
+            late already.
+        request: id of the request.
+        tokens: number of tokens in the prompt.
+        answer_tokens: maximum number of tokens in the answer.
+        is_held: whether the asker knows an upstream that holds the artifact.
+            It sends the request there itself unless the owner answers at once.
     """
 
     service: str
@@ -228,14 +252,18 @@
 @register
 @attrs.frozen
 class ReadingEnded:
-    """Tells the owner that a prompt was read, or never will be.
+    """Tells the owner that an engine has read a prompt, or never will.
+
+    Reading a prompt (prefill) ends with the first event of the answer.
 
     Attributes:
-        upstream: where; empty from one that left before it was told.
-        was_read: whether its first event has come.
-        failed: whether the upstream failed it: no answer, a broken one, or one
-            that says so.
-        unreachable: whether it failed before anything was sent.
+        request: id of the request.
+        upstream: name of the engine; empty if the request ended before the
+            front knew which engine the owner had chosen.
+        was_read: whether the first event of the answer has arrived.
+        failed: whether the upstream failed the request: no answer, a broken
+            one or an error.
+        unreachable: whether the request failed before any of it was sent.
     """
 
     request: str
@@ -245,21 +273,26 @@
     unreachable: bool = False
 
 
-# Reason why an owner names no holder at once although there is one: the answer
-# comes sooner, or only then at all, once another engine has loaded a copy.
+# Value of `ArtifactReady.reason`: a holder exists, but the answer comes sooner,
+# or can only come, from an engine that first loads another copy.
 COPY_IS_SOONER = "copy_is_sooner"
 
 
 @register
 @attrs.frozen
 class ArtifactReady:
-    """An engine holds it; or, when `upstream` is empty, none will in time.
+    """Answer to a `WantArtifact`.
 
     Attributes:
-        read_seconds: that the prompt takes to read there; 0 if not known.
-        first_seconds: predicted until the first event; 0 if not known.
+        upstream: name of an engine that holds the artifact; empty if none will
+            in time.
+        version: version that the engine holds.
         after: seconds after which asking again may help.
-        reason: why there is none.
+        reason: why no engine is named.
+        read_seconds: predicted time for the engine to read the prompt; 0 if
+            unknown.
+        first_seconds: predicted time until the first event of the answer; 0 if
+            unknown.
     """
 
     upstream: str
--- a/src/ridgesill/core/fleet/registry.py
+++ b/src/ridgesill/core/fleet/registry.py
@@ -1,4 +1,8 @@
-"""What is known of the upstreams, as numbered changes."""
+"""State of the upstreams, published as numbered changes.
+
+The owner keeps a `Registry` and answers questions with the changes since a
+number. Fronts and relays apply these changes to their `FleetView`.
+"""
 
 import collections
 from collections.abc import Iterable
@@ -18,30 +22,39 @@
 from ridgesill.core.serving.limits import NamedLimit
 from ridgesill.core.serving.rates import RateState
 
-# Changes kept for those who ask; who is further behind gets everything.
-_CHANGES_KEPT = 4096
-# How long a sequence number is remembered after its upstream is gone, so that
-# a heartbeat that was long on its way can't bring it back; seconds.
-_REMEMBERED_SECONDS = 30.0
-# An incarnation heard within this share of the patience is likely alive; four
-# intervals between heartbeats make the patience.
-_ALIVE_SHARE = 0.3
+# Changes kept for incremental news; an asker further behind gets the full
+# state.
+_MAX_KEPT_CHANGES = 4096
+# How long the name, sequence number and start of a removed upstream are kept,
+# in seconds, so that a delayed heartbeat can't bring it back.
+_REMOVED_NAME_KEPT_SECONDS = 30.0
+# An incarnation that has sent a heartbeat within this share of the patience is
+# likely alive; the patience is four heartbeat intervals.
+_LIKELY_ALIVE_SHARE = 0.3
 
 
 @attrs.define
-class _Heard:
+class _LastHeartbeat:
+    """Sequence number and arrival time of an upstream's last heartbeat.
+
+    Attributes:
+        sequence: sequence number; -1 if an earlier owner received it.
+        at: clock time of its arrival, in seconds.
+    """
+
     sequence: int
     at: float
 
 
 @attrs.frozen
-class _Start:
-    """The latest start of an instance.
+class _InstanceStart:
+    """The latest known start of an instance.
 
     Attributes:
-        start: 0 when it doesn't tell.
-        at: when this was noted.
-        has_left: whether it said that it leaves, though nobody here knew it.
+        start: start number; 0 if the instance doesn't send one.
+        at: clock time of this record, in seconds.
+        has_left: whether the instance announced its departure before the
+            registry knew it.
     """
 
     start: int
@@ -49,24 +62,24 @@
     has_left: bool = False
 
 
-class _Index:
-    """Names of upstreams by something that several may share.
+class _NameIndex:
+    """Index of upstream names by a key that several upstreams may share.
 
-    A heartbeat looks for those at its address and of its instance. Looking at
-    all upstreams for that took 64 us of 1,000 (timed alone), several hundred
-    times a second.
+    Each heartbeat looks up the upstreams with its address and those with its
+    instance, several hundred times a second. A scan over 1,000 upstreams takes
+    64 us each time.
     """
 
     def __init__(self) -> None:
-        # Dicts keep the order in which names came.
+        # Inner dicts serve as sets that keep insertion order.
         self._names: dict[str, dict[str, None]] = {}
 
     def add(self, key: str, name: str) -> None:
-        """Takes a name."""
+        """Adds a name under a key."""
         self._names.setdefault(key, {})[name] = None
 
     def remove(self, key: str, name: str) -> None:
-        """Forgets a name, if it is there."""
+        """Removes a name from a key; does nothing if it isn't there."""
         names = self._names.get(key)
         if names is not None:
             names.pop(name, None)
@@ -74,101 +87,117 @@
                 del self._names[key]
 
     def find(self, key: str) -> tuple[str, ...]:
-        """Returns the names, the first that came at the start."""
+        """Returns the names under a key in insertion order."""
         return tuple(self._names.get(key, ()))
 
 
 class Registry:
-    """The upstreams known to a node.
+    """The owner's record of all upstreams, with a log of changes.
 
     Args:
-        epoch: of the owner whose changes these are.
-        patience: seconds of silence after which an upstream is forgotten.
+        epoch: epoch of the owner that numbers the changes.
+        patience: seconds without a heartbeat after which an upstream is
+            removed.
     """
 
     def __init__(self, epoch: int, patience: float) -> None:
         self.epoch = epoch
         self.number = 0
         self.upstreams: dict[str, Upstream] = {}
-        self._at_address = _Index()
-        self._of_instance = _Index()
+        self._names_by_address = _NameIndex()
+        self._names_by_instance = _NameIndex()
         self._patience = patience
-        self._settled_at = float("-inf")
-        self._heard: dict[str, _Heard] = {}
-        self._left: dict[str, float] = {}
-        self._starts: dict[str, _Start] = {}
-        # When each start that followed an earlier one was first heard.
-        self._anew_at: dict[str, float] = {}
-        # Incarnations that nobody here knows, with when they were last heard,
-        # at the address of one that seems alive.
-        self._doubted: dict[str, float] = {}
+        self._settles_at = float("-inf")
+        self._last_heartbeats: dict[str, _LastHeartbeat] = {}
+        self._departed_at: dict[str, float] = {}
+        self._latest_starts: dict[str, _InstanceStart] = {}
+        # Time of the first heartbeat of each start that followed an earlier
+        # one, by upstream name.
+        self._restarted_at: dict[str, float] = {}
+        # Time of the last heartbeat of each unknown incarnation that uses the
+        # address of an upstream that seems alive, by upstream name.
+        self._unverified_at: dict[str, float] = {}
         self._changes: collections.deque[tuple[int, UpstreamChange]] = (
-            collections.deque(maxlen=_CHANGES_KEPT)
+            collections.deque(maxlen=_MAX_KEPT_CHANGES)
         )
 
     def adopt(self, upstreams: Iterable[Upstream], now: float) -> None:
-        """Takes over what an earlier owner knew, as if just heard."""
+        """Takes over the upstreams of an earlier owner.
+
+        Each counts as if its heartbeat had arrived now.
+        """
         for upstream in upstreams:
             if not upstream.instance:
                 upstream = attrs.evolve(upstream, instance=upstream.name)
-            self._put(upstream)
-            self._heard[upstream.name] = _Heard(-1, now)
+            self._store(upstream)
+            self._last_heartbeats[upstream.name] = _LastHeartbeat(-1, now)
             if upstream.has_strays:
-                self._anew_at[upstream.name] = now
-            self._starts[upstream.instance] = _Start(upstream.start, now)
-            self._note(UpstreamChange(upstream.name, upstream))
+                self._restarted_at[upstream.name] = now
+            self._latest_starts[upstream.instance] = _InstanceStart(
+                upstream.start, now
+            )
+            self._append_change(UpstreamChange(upstream.name, upstream))
 
-    def _put(self, upstream: Upstream) -> None:
-        """Takes an upstream, in the place of its earlier record if any."""
+    def _store(self, upstream: Upstream) -> None:
+        """Stores an upstream, replacing its earlier record if there is one."""
         name = upstream.name
         known = self.upstreams.get(name)
         if known is not None:
-            self._take_from_indexes(known)
+            self._remove_from_indexes(known)
         self.upstreams[name] = upstream
-        self._at_address.add(upstream.address, name)
-        self._of_instance.add(upstream.instance, name)
+        self._names_by_address.add(upstream.address, name)
+        self._names_by_instance.add(upstream.instance, name)
 
-    def _remove(self, name: str) -> bool:
-        """Forgets an upstream; returns whether it was known."""
+    def _discard(self, name: str) -> bool:
+        """Removes an upstream's record; returns whether it was known."""
         known = self.upstreams.pop(name, None)
         if known is None:
             return False
-        self._take_from_indexes(known)
+        self._remove_from_indexes(known)
         return True
 
-    def _take_from_indexes(self, known: Upstream) -> None:
-        self._at_address.remove(known.address, known.name)
-        self._of_instance.remove(known.instance, known.name)
+    def _remove_from_indexes(self, known: Upstream) -> None:
+        self._names_by_address.remove(known.address, known.name)
+        self._names_by_instance.remove(known.instance, known.name)
 
     def begin_settling(self, now: float) -> None:
-        """Notes that upstreams are there which nobody here has heard yet."""
-        self._settled_at = now + self._patience
+        """Marks the registry as incomplete until the patience has passed.
+
+        A new owner without an earlier owner's state calls this: upstreams may
+        be running whose heartbeats haven't arrived yet.
+        """
+        self._settles_at = now + self._patience
 
-    # -- what upstreams say --------------------------------------------
+    # -- heartbeats and departures -------------------------------------
 
     def handle_heartbeat(self, heartbeat: Heartbeat, now: float) -> bool:
-        """Takes a heartbeat; returns False for one that is out of date."""
+        """Applies a heartbeat; returns False if it is stale and ignored."""
         name = heartbeat.name
-        heard = self._heard.get(name)
-        if name in self._left or self._is_of_earlier_start(heartbeat):
+        last_heartbeat = self._last_heartbeats.get(name)
+        if name in self._departed_at or self._is_of_earlier_start(heartbeat):
             return False
-        if heard is not None and heartbeat.sequence <= heard.sequence:
+        if (
+            last_heartbeat is not None
+            and heartbeat.sequence <= last_heartbeat.sequence
+        ):
             return False
-        if name not in self.upstreams and self._is_doubtful(heartbeat, now):
-            self._doubted[name] = now
+        if name not in self.upstreams and self._is_possibly_stale(
+            heartbeat, now
+        ):
+            self._unverified_at[name] = now
             return False
-        self._doubted.pop(name, None)
-        self._heard[name] = _Heard(heartbeat.sequence, now)
+        self._unverified_at.pop(name, None)
+        self._last_heartbeats[name] = _LastHeartbeat(heartbeat.sequence, now)
         instance = heartbeat.identity
-        before = self._starts.get(instance)
-        if before is not None and before.start != heartbeat.start:
-            self._anew_at[name] = now
-        self._starts[instance] = _Start(heartbeat.start, now)
-        self._forget_predecessors(heartbeat, now)
+        previous = self._latest_starts.get(instance)
+        if previous is not None and previous.start != heartbeat.start:
+            self._restarted_at[name] = now
+        self._latest_starts[instance] = _InstanceStart(heartbeat.start, now)
+        self._remove_predecessors(heartbeat, now)
         known = self.upstreams.get(name)
         state = DRAINING if heartbeat.draining else READY
         if known is not None and known.state == DRAINING:
-            # One that has said it leaves does not come back.
+            # Draining is final for a start.
             state = DRAINING
         record = Upstream(
             name,
@@ -180,149 +209,163 @@
             known.resident if known else dict(heartbeat.resident or {}),
             instance,
             heartbeat.start,
-            name in self._anew_at,
+            name in self._restarted_at,
         )
         if record != known:
-            self._put(record)
-            self._note(UpstreamChange(name, record))
+            self._store(record)
+            self._append_change(UpstreamChange(name, record))
         return True
 
     def _is_of_earlier_start(self, heartbeat: Heartbeat) -> bool:
-        """Whether it is of an earlier start than one known, or may be.
+        """Whether a heartbeat comes, or may come, from an earlier start.
 
-        Counts of heartbeats begin anew with each start, so that only the start
-        tells. One that doesn't tell it, where others did, isn't the upstream's
-        own.
+        Sequence numbers restart with each start, so only the start number
+        tells starts apart. A heartbeat without a start number is rejected if
+        the instance has sent one before.
         """
-        known = self._starts.get(heartbeat.identity)
+        known = self._latest_starts.get(heartbeat.identity)
         if known is None or heartbeat.start > known.start > 0:
             return False
         return known.has_left or heartbeat.start < known.start
 
-    def _is_doubtful(self, heartbeat: Heartbeat, now: float) -> bool:
-        """Whether this may be an earlier incarnation's word, long on its way.
+    def _is_possibly_stale(self, heartbeat: Heartbeat, now: float) -> bool:
+        """Whether this may be an earlier incarnation's delayed heartbeat.
 
-        A cut may hold a heartbeat back until its sender has crashed and a new
-        incarnation has begun at the same address. An owner that never knew the
-        earlier one would take it for the newer, and drop the one that serves
-        for as long as names are remembered. Which one is alive shows with the
-        next heartbeat of either.
+        A network partition can delay a heartbeat until its sender has crashed
+        and a new incarnation has started at the same address. An owner that
+        never knew the earlier incarnation would take it for the newer one, and
+        would reject the running one for as long as removed names are kept. The
+        next heartbeat of either shows which one is alive.
         """
-        for name in self._at_address.find(heartbeat.address):
+        for name in self._names_by_address.find(heartbeat.address):
             other = self.upstreams[name]
             if other.state == DRAINING:
                 continue
             if other.instance == heartbeat.identity:
-                # Its starts tell which of the two is the later one.
+                # The start numbers tell which of the two is later.
                 continue
-            heard_at = self._heard[other.name].at
-            doubted_at = self._doubted.get(heartbeat.name)
-            if doubted_at is not None and heard_at < doubted_at:
-                # Only this one has been heard since.
+            other_heard_at = self._last_heartbeats[other.name].at
+            unverified_at = self._unverified_at.get(heartbeat.name)
+            if unverified_at is not None and other_heard_at < unverified_at:
+                # Only this one has sent a heartbeat since.
                 continue
-            if now - heard_at <= self._patience * _ALIVE_SHARE:
+            if now - other_heard_at <= self._patience * _LIKELY_ALIVE_SHARE:
                 return True
         return False
 
-    def _forget_predecessors(self, heartbeat: Heartbeat, now: float) -> None:
-        """Forgets who had this address or this instance: it has ended."""
-        at_address = self._at_address.find(heartbeat.address)
-        of_instance = self._of_instance.find(heartbeat.identity)
+    def _remove_predecessors(self, heartbeat: Heartbeat, now: float) -> None:
+        """Removes other upstreams with this address or instance.
+
+        They have ended, since only one runs at an address or as an instance.
+        """
+        at_address = self._names_by_address.find(heartbeat.address)
+        of_instance = self._names_by_instance.find(heartbeat.identity)
         for name in (*at_address, *of_instance):
             if name != heartbeat.name:
                 self.remove(name, now)
 
     def find(self, instance: str) -> Upstream | None:
-        """Returns the start of an instance that is known."""
-        names = self._of_instance.find(instance)
+        """Returns the upstream that is the known start of an instance."""
+        names = self._names_by_instance.find(instance)
         return self.upstreams[names[0]] if names else None
 
     def handle_leave(self, instance: str, start: int, now: float) -> str:
-        """Notes that a start of an instance leaves.
+        """Handles the announcement that a start of an instance is leaving.
 
         Args:
-            instance: what it calls itself.
-            start: which of its starts; 0 when it doesn't tell.
-            now: the clock, in seconds.
+            instance: the instance's name for itself.
+            start: start number; 0 if the announcement has none.
+            now: clock time, in seconds.
 
         Returns:
-            The name of the start that leaves; empty when it isn't known.
+            The upstream name of the start that leaves; empty if it is unknown
+            or the announcement is stale.
         """
         known = self.find(instance)
         if known is None:
-            before = self._starts.get(instance)
-            last = before.start if before else 0
-            self._starts[instance] = _Start(start or last, now, has_left=True)
+            previous = self._latest_starts.get(instance)
+            last = previous.start if previous else 0
+            self._latest_starts[instance] = _InstanceStart(
+                start or last, now, has_left=True
+            )
             return ""
         if start and start < known.start:
-            # A word of an earlier start, long on its way.
+            # Delayed announcement of an earlier start.
             return ""
         self.mark_draining(known.name, now)
         return known.name
 
     def mark_draining(self, name: str, now: float) -> None:
-        """Notes that an upstream leaves."""
+        """Marks an upstream as draining for good.
+
+        An unknown name counts as departed, and its heartbeats are ignored.
+        """
         known = self.upstreams.get(name)
         if known is None:
-            self._left[name] = now
+            self._departed_at[name] = now
         elif known.state != DRAINING:
             record = attrs.evolve(known, state=DRAINING)
             self.upstreams[name] = record
-            self._note(UpstreamChange(name, record))
+            self._append_change(UpstreamChange(name, record))
 
     def remove(self, name: str, now: float) -> None:
-        """Forgets an upstream that is gone."""
-        if self._remove(name):
-            self._left[name] = now
-            self._note(UpstreamChange(name, gone=True))
+        """Removes an upstream that is gone; its heartbeats are then ignored."""
+        if self._discard(name):
+            self._departed_at[name] = now
+            self._append_change(UpstreamChange(name, gone=True))
 
     def expire(self, now: float) -> list[str]:
-        """Forgets upstreams that have been silent; returns their names."""
+        """Removes silent upstreams and prunes old records.
+
+        Returns:
+            The names of the upstreams without a heartbeat for longer than the
+            patience.
+        """
         silent = [
             name
             for name in self.upstreams
-            if now - self._heard[name].at > self._patience
+            if now - self._last_heartbeats[name].at > self._patience
         ]
         for name in silent:
-            self._remove(name)
-            # It may be heard again: silence is no departure.
-            self._note(UpstreamChange(name, gone=True))
-        for name, at in list(self._left.items()):
-            if now - at > _REMEMBERED_SECONDS:
-                del self._left[name]
-                self._heard.pop(name, None)
-        self._settle_strays(now)
+            self._discard(name)
+            # Not added to the departed ones: a silent upstream may return.
+            self._append_change(UpstreamChange(name, gone=True))
+        for name, at in list(self._departed_at.items()):
+            if now - at > _REMOVED_NAME_KEPT_SECONDS:
+                del self._departed_at[name]
+                self._last_heartbeats.pop(name, None)
+        self._clear_strays(now)
         known_instances = {u.instance for u in self.upstreams.values()}
-        for instance, noted in list(self._starts.items()):
-            is_old = now - noted.at > _REMEMBERED_SECONDS
+        for instance, noted in list(self._latest_starts.items()):
+            is_old = now - noted.at > _REMOVED_NAME_KEPT_SECONDS
             if is_old and instance not in known_instances:
-                del self._starts[instance]
-        for name, at in list(self._doubted.items()):
+                del self._latest_starts[instance]
+        for name, at in list(self._unverified_at.items()):
             if now - at > self._patience:
-                del self._doubted[name]
+                del self._unverified_at[name]
         return silent
 
-    def _settle_strays(self, now: float) -> None:
-        """Notes which starts can't run orders of earlier ones any more."""
-        for name, at in list(self._anew_at.items()):
+    def _clear_strays(self, now: float) -> None:
+        """Clears `has_strays` where orders of earlier starts can't run now."""
+        for name, at in list(self._restarted_at.items()):
             if now - at <= UNANSWERED_SECONDS:
                 continue
-            del self._anew_at[name]
+            del self._restarted_at[name]
             known = self.upstreams.get(name)
             if known is not None:
                 record = attrs.evolve(known, has_strays=False)
                 self.upstreams[name] = record
-                self._note(UpstreamChange(name, record))
+                self._append_change(UpstreamChange(name, record))
 
     def seconds_since_heartbeat(self, name: str, now: float) -> float:
-        """Returns the seconds since an upstream was heard."""
-        heard = self._heard.get(name)
-        return now - heard.at if heard else float("inf")
+        """Returns the seconds since the last heartbeat; infinity if none."""
+        last_heartbeat = self._last_heartbeats.get(name)
+        return now - last_heartbeat.at if last_heartbeat else float("inf")
 
-    # -- what upstreams hold -------------------------------------------
+    # -- artifacts -----------------------------------------------------
 
     def set_resident(self, name: str, resident: dict[str, int]) -> None:
-        """Replaces what is known to be held by an upstream."""
+        """Replaces the versions of the artifacts that an upstream holds."""
         known = self.upstreams.get(name)
         if known is None or known.resident == resident:
             return
@@ -333,16 +376,16 @@
         }
         removed = tuple(a for a in known.resident if a not in resident)
         self.upstreams[name] = attrs.evolve(known, resident=dict(resident))
-        self._note(UpstreamChange(name, added=added, removed=removed))
+        self._append_change(UpstreamChange(name, added=added, removed=removed))
 
     # -- changes -------------------------------------------------------
 
-    def _note(self, change: UpstreamChange) -> None:
+    def _append_change(self, change: UpstreamChange) -> None:
         self.number += 1
         self._changes.append((self.number, change))
 
     def has_news(self, epoch: int, number: int) -> bool:
-        """Whether something has changed since a number."""
+        """Whether there are changes after a change number of an epoch."""
         return epoch != self.epoch or number < self.number
 
     def make_news(
@@ -352,9 +395,23 @@
         busy: dict[str, int],
         now: float,
     ) -> FleetNews:
-        """Returns what has changed since a question's number, or everything."""
+        """Answers a question with the changes since its number.
+
+        The answer holds the full state if the question is from another epoch
+        or further behind than the kept changes.
+
+        Args:
+            question: names the epoch and the last change that the asker has.
+            fronts: number of fronts that report.
+            busy: requests in progress by upstream, over all fronts.
+            now: clock time, in seconds.
+        """
         epoch, number = question.epoch, question.number
-        if epoch == self.epoch and number > 0 and number >= self._oldest():
+        if (
+            epoch == self.epoch
+            and number > 0
+            and number >= self._oldest_number()
+        ):
             changes = tuple(c for n, c in self._changes if n > number)
             whole = False
         else:
@@ -369,26 +426,30 @@
             changes,
             fronts,
             busy,
-            now >= self._settled_at,
+            now >= self._settles_at,
         )
 
-    def _oldest(self) -> int:
-        """Returns the lowest number from which all changes are kept."""
+    def _oldest_number(self) -> int:
+        """Returns the lowest number after which every change is kept."""
         return self._changes[0][0] - 1 if self._changes else self.number
 
 
 @attrs.define
 class FleetView:
-    """What a front knows of the upstreams; it may be old.
+    """A node's copy of the owner's state, which may be out of date.
 
     Attributes:
-        holders: names of the upstreams that hold an artifact.
-        known_at: when the owner's last news arrived, here or at the node that
-            passed them on, on the runtime's clock.
-        quotas: of the customers near their limits.
-        limits: that upstreams had named at `known_at`.
-        sends: what may be sent of what these limits allow, by upstream.
-        knows_uses: whether the owner knows what customers use.
+        epoch: epoch of the owner that sent the last news; 0 before any news.
+        number: number of the last change applied.
+        fronts: number of fronts that report to the owner, at least 1.
+        updated_at: when the owner's last news arrived here, or at the relay
+            that passed them on; seconds on the runtime's clock.
+        upstreams: upstreams by name.
+        busy: requests in progress by upstream, over all fronts.
+        quotas: rate states of the customers near their limits.
+        limits: rate limits that upstreams had named at `updated_at`.
+        sends: rate states of the named limits, by upstream.
+        knows_uses: whether the owner knows how much customers use.
     """
 
     epoch: int = 0
@@ -404,17 +465,18 @@
     _unconfirmed: set[str] = attrs.Factory(set)
 
     def apply_news(self, news: FleetNews, now: float) -> None:
-        """Takes what the owner answers."""
+        """Applies the owner's news; ignores news of an earlier epoch."""
         if news.epoch < self.epoch:
             return
         if news.whole:
-            # An owner that has just started must not take away what is there.
+            # Upstreams that a new owner doesn't list yet stay until it has had
+            # the time to receive their heartbeats.
             self._unconfirmed = set(self.upstreams)
         for change in news.changes:
             self._unconfirmed.discard(change.name)
-            self._apply(change)
+            self._apply_change(change)
         if news.settled:
-            self._forget_unconfirmed()
+            self._remove_unconfirmed()
         self.epoch = news.epoch
         self.number = news.number
         self.fronts = max(news.fronts, 1)
@@ -425,13 +487,13 @@
         self.knows_uses = news.knows_uses
         self.updated_at = now - news.age
 
-    def _forget_unconfirmed(self) -> None:
+    def _remove_unconfirmed(self) -> None:
         for name in self._unconfirmed:
             self.upstreams.pop(name, None)
         self._unconfirmed.clear()
 
     def confirmed_upstreams(self) -> list[Upstream]:
-        """Returns the upstreams that the owner of this epoch has named."""
+        """Returns the upstreams that the owner of this epoch has listed."""
         return [
             upstream
             for upstream in self.upstreams.values()
@@ -439,22 +501,27 @@
         ]
 
     def make_bootstrap_news(self, question: WatchFleet) -> FleetNews:
-        """Tells a front that knows nothing what an earlier owner said."""
+        """Answers a new front with this view's state while no owner is known.
+
+        Returns:
+            The full state; news of epoch 0 if the front has news already or
+            this view has none.
+        """
         if question.epoch or not self.epoch:
             return FleetNews(0)
         changes = tuple(
             UpstreamChange(name, upstream)
             for name, upstream in self.upstreams.items()
         )
-        # Number 0 makes it ask the next owner for everything.
+        # Number 0 makes the front ask the next owner for the full state.
         return FleetNews(self.epoch, 0, True, changes, self.fronts)
 
-    def _apply(self, change: UpstreamChange) -> None:
+    def _apply_change(self, change: UpstreamChange) -> None:
         if change.gone:
             self.upstreams.pop(change.name, None)
             return
         if change.record is not None:
-            # A copy: what is held changes in place below.
+            # Copied, since `resident` is changed in place below.
             self.upstreams[change.name] = attrs.evolve(
                 change.record, resident=dict(change.record.resident)
             )
@@ -467,7 +534,7 @@
             known.resident.pop(artifact, None)
 
     def ready_upstreams(self, service: str) -> list[Upstream]:
-        """Returns the upstreams of a service that take new work."""
+        """Returns the upstreams of a service that accept new requests."""
         return [
             upstream
             for upstream in self.upstreams.values()
@@ -477,7 +544,13 @@
     def holders(
         self, service: str, artifact: str, version: int = 0
     ) -> list[Upstream]:
-        """Returns those that hold an artifact in a version or a later one."""
+        """Returns the ready upstreams that hold an artifact.
+
+        Args:
+            service: service of the upstreams.
+            artifact: `model` or `model/adapter`.
+            version: lowest version that will do.
+        """
         return [
             upstream
             for upstream in self.ready_upstreams(service)
--- a/src/ridgesill/core/fleet/relayed_news.py
+++ b/src/ridgesill/core/fleet/relayed_news.py
@@ -1,10 +1,10 @@
-"""The owner's news as another node passes them on to fronts.
+"""The owner's news, kept by a relay to answer fronts.
 
-Load pattern: 195 fronts in five data centres, and some eighty changes a second
-while adapters are loaded and give way. Told to each front by the owner, every
-change crosses from data centre to data centre once for each front, and the
-owner's processor answers some 660 questions a second. A relay in each data
-centre asks once for all of its fronts.
+Load pattern: 195 fronts in five data centres, and about 80 changes a second
+while adapters are loaded and unloaded. If the owner answers each front itself,
+every change crosses between data centres once for each front, and the owner
+answers about 660 questions a second. A relay in each data centre asks once for
+all of its fronts.
 """
 
 import collections
@@ -16,21 +16,22 @@
 )
 from ridgesill.core.fleet.registry import FleetView
 
-# Changes kept for those who ask; who is further behind gets everything. Some
-# ten seconds of them on a busy day, while a front asks each half a second.
-_CHANGES_KEPT = 1024
-# A relay that has had no word of the owner for this long is no use to fronts,
-# in seconds: an owner without news answers each half a second.
+# Changes kept for incremental news; an asker further behind gets the full
+# state. At 80 changes a second this is over ten seconds, and a front asks every
+# half second.
+_MAX_KEPT_CHANGES = 1024
+# Age of the owner's last answer from which on a relay sends its fronts to the
+# owner, in seconds: an owner without news answers every half second.
 _STALE_SECONDS = 0.9
 
 
 class RelayedNews:
-    """Numbered changes, as their owner counts them.
+    """Changes kept under the numbers that their owner gave them.
 
-    A front may go from the owner to a relay and back at any number.
+    A front may therefore switch between the owner and relays at any number.
 
     Args:
-        view: of this node, which takes the same news.
+        view: this node's view, to which the same news is applied first.
     """
 
     def __init__(self, view: FleetView) -> None:
@@ -39,17 +40,17 @@
         self._number = 0
         self._settled = True
         self._changes: collections.deque[tuple[int, UpstreamChange]] = (
-            collections.deque(maxlen=_CHANGES_KEPT)
+            collections.deque(maxlen=_MAX_KEPT_CHANGES)
         )
 
     def apply_news(self, news: FleetNews) -> None:
-        """Takes what the owner has said, after the view has."""
+        """Stores the owner's news; call it after the view has applied them."""
         if news.epoch < self._epoch:
             return
         if news.whole or news.epoch != self._epoch:
             self._changes.clear()
         else:
-            # An owner counts each change that it tells.
+            # The numbers of an owner's changes are consecutive.
             first = news.number - len(news.changes) + 1
             self._changes.extend(enumerate(news.changes, first))
         self._epoch = news.epoch
@@ -57,15 +58,15 @@
         self._settled = news.settled
 
     def is_current(self, now: float) -> bool:
-        """Whether the owner has been heard lately."""
+        """Whether the owner's last answer is recent enough to pass on."""
         return now - self._view.updated_at <= _STALE_SECONDS
 
     def can_answer(self, question: WatchFleet) -> bool:
-        """Whether an asker's owner is known here."""
+        """Whether this relay has news of the asker's epoch or a later one."""
         return 0 < self._epoch >= question.epoch
 
     def has_news(self, question: WatchFleet) -> bool:
-        """Whether there is something that an asker doesn't know."""
+        """Whether there is anything that the asker needs to be told now."""
         if question.epoch != self._epoch:
             return question.epoch < self._epoch
         if self._view.limits:
@@ -75,15 +76,21 @@
         return question.number < self._number
 
     def make_news(self, question: WatchFleet, now: float) -> FleetNews:
-        """Returns what has changed since a question's number, or everything."""
+        """Answers a question with the changes since its number.
+
+        The answer holds the full state if the question is from another epoch
+        or further behind than the kept changes.
+        """
         age = max(now - self._view.updated_at, 0.0)
         is_whole = self._is_too_far_behind(question)
         return FleetNews(
             self._epoch,
-            # One that has asked the owner itself may be ahead.
+            # A front that has asked the owner itself may be ahead.
             self._number if is_whole else max(self._number, question.number),
             is_whole,
-            self._everything() if is_whole else self._since(question.number),
+            self._all_changes()
+            if is_whole
+            else self._changes_since(question.number),
             self._view.fronts,
             self._view.busy,
             self._settled,
@@ -100,10 +107,10 @@
         oldest = self._changes[0][0] if self._changes else self._number + 1
         return question.number < oldest - 1
 
-    def _since(self, number: int) -> tuple[UpstreamChange, ...]:
+    def _changes_since(self, number: int) -> tuple[UpstreamChange, ...]:
         return tuple(change for n, change in self._changes if n > number)
 
-    def _everything(self) -> tuple[UpstreamChange, ...]:
+    def _all_changes(self) -> tuple[UpstreamChange, ...]:
         return tuple(
             UpstreamChange(upstream.name, upstream)
             for upstream in self._view.confirmed_upstreams()
--- a/src/ridgesill/core/fleet/relays.py
+++ b/src/ridgesill/core/fleet/relays.py
@@ -1,29 +1,30 @@
-"""Which node passes the fleet owner's news on to a front."""
+"""Choice of the relays that pass the fleet owner's news on to a front."""
 
 from collections.abc import Iterable
 
 from ridgesill.core.commands import Node
 from ridgesill.core.rendezvous import rank
 
-# From this many fronts on they ask relays. Fewer are answered by the owner
-# itself: a relay makes what they know up to 0.1 s older, and what it saves
-# grows with their number.
-_FRONTS_LEAST = 20
+# Lowest number of fronts at which they ask relays. With fewer, the owner
+# answers each itself: a relay makes a front's view up to 0.1 s older, and the
+# load it takes off the owner grows with the number of fronts.
+_MIN_FRONTS = 20
 
 
 def find_relays(front: Node, nodes: Iterable[Node]) -> list[Node]:
-    """Returns the nodes that may pass news on to a front, the best first.
+    """Returns the nodes that may relay news to a front, best first.
 
-    Only those of its own data centre: news then cross from one to another once
-    for all fronts there.
+    Only voters of the front's own data centre qualify: news then crosses
+    between data centres once for all fronts there. The list is empty if the
+    front should ask the owner itself.
     """
-    known = list(nodes)
-    fronts = sum(not node.voter for node in known)
-    if fronts < _FRONTS_LEAST:
+    all_nodes = list(nodes)
+    fronts = sum(not node.voter for node in all_nodes)
+    if fronts < _MIN_FRONTS:
         return []
-    near = {
+    relays = {
         node.name: node
-        for node in known
+        for node in all_nodes
         if node.voter and node.data_centre == front.data_centre
     }
-    return [near[name] for name in rank(front.name, near)]
+    return [relays[name] for name in rank(front.name, relays)]
--- a/src/ridgesill/core/fleet/usage.py
+++ b/src/ridgesill/core/fleet/usage.py
@@ -1,4 +1,4 @@
-"""What fronts say they are using, added up."""
+"""Usage of upstreams and artifacts, summed over the reports of fronts."""
 
 import collections
 
@@ -7,24 +7,26 @@
 from ridgesill.core.fleet.use_reports import Sent
 from ridgesill.core.serving.limits import NamedLimit
 
-# After this long without word a front counts as gone, in seconds; it asks at
-# least twice a second.
-_HEARD_SECONDS = 2.0
+# Time without a report after which a front counts as gone, in seconds; a front
+# asks at least twice a second.
+_SILENT_AFTER_SECONDS = 2.0
 
 
 @attrs.frozen
 class UsageReport:
-    """What a front, or a relay for its fronts, tells with each question.
+    """Usage that a front, or a relay for its fronts, sends with a question.
 
     Attributes:
         used: requests by artifact since the last report.
         busy: requests in progress by upstream and artifact.
-        fronts: how many it speaks for.
-        age: seconds since each of them has reported.
-        resting: at how many of them an upstream wants no requests.
-        sent: under rates, since the last report.
-        limits: that upstreams have named, as far as the owner hasn't told them.
-        is_relayed: whether a relay tells it for its fronts.
+        fronts: number of fronts that the report covers.
+        age: age in seconds of the oldest of their reports.
+        resting: number of these fronts that an upstream has asked to pause, by
+            upstream.
+        sent: amounts sent under rates since the last report.
+        limits: rate limits that upstreams have named and that the owner hasn't
+            sent in its news.
+        is_relayed: whether a relay reports for its fronts.
     """
 
     used: dict[str, int] = attrs.Factory(dict)
@@ -39,6 +41,17 @@
 
 @attrs.define
 class _Reporter:
+    """Last report of a front or a relay.
+
+    Attributes:
+        heard_at: clock time when the report arrived, in seconds.
+        reported_at: clock time of the oldest front report in it, in seconds.
+        fronts: number of fronts that it covers.
+        busy: requests in progress by upstream and artifact.
+        resting: number of its fronts that an upstream has asked to pause, by
+            upstream.
+    """
+
     heard_at: float
     reported_at: float
     fronts: int
@@ -47,10 +60,13 @@
 
 
 class Usage:
-    """Requests in progress by upstream and artifact, from all fronts.
+    """Requests in progress by upstream and artifact, over all fronts.
 
-    The sums are kept up to date with each report, since they are looked at
-    far more often than fronts report.
+    Each report updates the sums, since they are read far more often than
+    fronts report.
+
+    Attributes:
+        fronts: number of fronts that report, directly or through relays.
     """
 
     def __init__(self) -> None:
@@ -62,13 +78,16 @@
 
     @property
     def reporter_count(self) -> int:
-        """How many processes report: fronts, and relays for theirs."""
+        """Number of processes that report: fronts, and relays for theirs."""
         return len(self._reporters)
 
     def record_report(
         self, reporter: str, report: UsageReport, now: float
     ) -> None:
-        """Notes what a front uses, in place of what it said before."""
+        """Records a report, replacing the reporter's previous one.
+
+        A report that covers no fronts only removes the previous one.
+        """
         self._subtract(reporter)
         if not report.fronts:
             return
@@ -103,29 +122,29 @@
                 del self._totals[name]
 
     def prune_silent(self, now: float) -> None:
-        """Forgets fronts that say nothing any more."""
+        """Removes reporters without a recent report."""
         for name, reporter in list(self._reporters.items()):
-            if now - reporter.heard_at > _HEARD_SECONDS:
+            if now - reporter.heard_at > _SILENT_AFTER_SECONDS:
                 self._subtract(name)
 
     def has_reports_since(self, at: float) -> bool:
-        """Whether every front has reported after a moment."""
+        """Whether every front has reported after a time."""
         return all(r.reported_at > at for r in self._reporters.values())
 
     def requests_by_upstream(self) -> dict[str, int]:
-        """Returns requests in progress by upstream."""
+        """Returns the number of requests in progress by upstream."""
         return dict(self._totals)
 
     def artifacts_in_use(self, upstream: str) -> set[str]:
-        """Returns the artifacts in use on an upstream."""
+        """Returns the artifacts that requests on an upstream are using."""
         return set(self._sums.get(upstream, ()))
 
     def resting_fronts(self) -> dict[str, int]:
-        """Returns at how many fronts each upstream wants no requests."""
+        """Returns how many fronts each upstream has asked to pause."""
         return dict(+self._resting)
 
     def is_resting_for_most(self, upstream: str) -> bool:
-        """Whether an upstream wants no requests from half of the fronts."""
+        """Whether an upstream has asked half of the fronts or more to pause."""
         resting = self._resting[upstream]
         return resting > 0 and 2 * resting >= self.fronts
 
@@ -135,12 +154,12 @@
         limits: dict[str, NamedLimit],
         now: float,
     ) -> UsageReport:
-        """Returns one report for all fronts.
+        """Returns one report for all fronts, as a relay sends it.
 
         Args:
             used: requests by artifact since the last report.
-            limits: that upstreams have named.
-            now: the clock, in seconds.
+            limits: rate limits that upstreams have named.
+            now: clock time, in seconds.
         """
         ages = (now - r.reported_at for r in self._reporters.values())
         busy = {name: dict(using) for name, using in self._sums.items()}
--- a/src/ridgesill/core/fleet/use_reports.py
+++ b/src/ridgesill/core/fleet/use_reports.py
@@ -1,9 +1,10 @@
-"""Reports of what was sent under rates, each counted once.
+"""Reports of the amounts sent under rates, each counted exactly once.
 
-A question may be lost, or its answer, or the node that took it may not own the
-fleet any more. Told again to another node, what the first one had taken would
-count twice, and twice more with each node that passes it on. So a report goes
-to one node until that node has said whether it took it.
+A question or its answer may be lost, or the node that accepted a report may no
+longer own the fleet. If the amounts were then reported to another node, those
+that the first one had accepted would count twice, and again with each node that
+passes them on. So a report is sent to one node only, until that node has
+answered whether it accepted it.
 """
 
 import collections
@@ -14,29 +15,30 @@
 from ridgesill.core.codec import register
 from ridgesill.core.serving.rates import RateUse, add_uses
 
-# After this long a report is dropped that nobody has taken, in seconds: it is
-# outside of the spans over which rates are judged.
+# Age at which a report that no node has accepted is dropped, in seconds: it is
+# then outside of the windows over which rates are enforced.
 MAX_REPORT_AGE_SECONDS = 8.0
-# What nobody has taken is kept apart by when it was sent, in seconds, so that
-# what is old can be dropped without the rest.
+# Length of the time slices by which unreported amounts are kept, in seconds, so
+# that old ones can be dropped without the rest.
 _SLICE_SECONDS = 1.0
-# Decisions kept for a reporter: it tells some ten reports a second, and no
-# longer than it keeps them.
-_DECISIONS_KEPT = 256
-# A reporter that has been silent for this long is forgotten, in seconds.
-_REPORTER_SECONDS = 30.0
+# Decisions kept for each reporter. It sends about ten reports a second and
+# repeats none that is older than the maximum age.
+_MAX_KEPT_DECISIONS = 256
+# Time without a question after which a reporter's decisions are dropped, in
+# seconds.
+_REPORTER_KEPT_SECONDS = 30.0
 
 
 @register
 @attrs.frozen
 class UseReport:
-    """What a front, or a relay for its fronts, has sent under rates.
+    """Amounts that a front, or a relay for its fronts, has sent under rates.
 
     Attributes:
-        number: of the report, by its reporter.
-        uses: by customer.
-        sends: by upstream that has named a limit.
-        span: seconds since the first of it was sent.
+        number: number of the report, unique for its reporter.
+        uses: use of quotas, by customer.
+        sends: use of named limits, by upstream.
+        span: seconds since the first of these requests was sent.
     """
 
     number: int
@@ -47,18 +49,24 @@
 
 @attrs.frozen
 class Sent:
-    """What was sent since some moment."""
+    """Amounts sent under rates since a time.
+
+    Attributes:
+        uses: use of quotas, by customer.
+        sends: use of named limits, by upstream.
+        since: clock time at which the first request was sent, in seconds.
+    """
 
     uses: dict[str, RateUse] = attrs.Factory(dict)
     sends: dict[str, RateUse] = attrs.Factory(dict)
     since: float = float("inf")
 
     def __bool__(self) -> bool:
-        """Whether it is anything."""
+        """Whether anything was sent."""
         return bool(self.uses or self.sends)
 
     def plus(self, other: "Sent") -> "Sent":
-        """Returns the sum of two."""
+        """Returns the sum of both amounts, since the earlier time."""
         return Sent(
             add_uses(self.uses, other.uses),
             add_uses(self.sends, other.sends),
@@ -67,81 +75,98 @@
 
 
 class OutgoingReports:
-    """A reporter's side: what no node has confirmed to have taken."""
+    """The reporter's side: amounts that no node has confirmed yet."""
 
     def __init__(self) -> None:
         self._number = 0
-        # By the slice of time in which it was sent.
-        self._untold: dict[int, Sent] = {}
-        # By node: what it was told and hasn't answered for, by number.
-        self._told: dict[str, dict[int, Sent]] = {}
+        # Amounts not yet in a report, by time slice.
+        self._unassigned: dict[int, Sent] = {}
+        # Reports that a node hasn't answered yet, by node and report number.
+        self._assigned: dict[str, dict[int, Sent]] = {}
 
     def add(self, sent: Sent) -> None:
-        """Takes what is to be told."""
+        """Adds amounts to be reported."""
         if sent:
             slice_number = int(sent.since // _SLICE_SECONDS)
-            known = self._untold.get(slice_number)
-            self._untold[slice_number] = known.plus(sent) if known else sent
+            known = self._unassigned.get(slice_number)
+            self._unassigned[slice_number] = known.plus(sent) if known else sent
 
     def take_unassigned(self) -> list[Sent]:
-        """Returns what no node has been told, and forgets it here."""
-        untold, self._untold = self._untold, {}
-        return list(untold.values())
+        """Removes and returns the amounts that are in no report yet."""
+        unassigned, self._unassigned = self._unassigned, {}
+        return list(unassigned.values())
 
     def make_reports(self, node: str, now: float) -> tuple[UseReport, ...]:
-        """Returns what a node is to be told now."""
+        """Returns the reports to send to a node now.
+
+        These are the ones that it hasn't answered yet and a new one for each
+        slice of unreported amounts.
+        """
         self._drop_old(now)
         for sent in self.take_unassigned():
             self._number += 1
-            self._told.setdefault(node, {})[self._number] = sent
+            self._assigned.setdefault(node, {})[self._number] = sent
         return tuple(
             UseReport(number, sent.uses, sent.sends, max(now - sent.since, 0.0))
-            for number, sent in self._told.get(node, {}).items()
+            for number, sent in self._assigned.get(node, {}).items()
         )
 
     def handle_answer(
         self, node: str, asked: Iterable[UseReport], taken: Collection[int]
     ) -> None:
-        """Notes what a node has said of the reports that it was told.
+        """Applies a node's answer to the reports that were sent to it.
+
+        The amounts of refused reports go to the next node under new numbers, so
+        that the refusing node can't accept them from a delayed copy of the
+        question.
 
-        What it refused goes to the next node under another number: a late copy
-        of the question must not have it taken after all.
+        Args:
+            node: name of the node.
+            asked: reports in the question.
+            taken: numbers of the reports that the node accepted.
         """
-        told = self._told.get(node, {})
+        assigned = self._assigned.get(node, {})
         for report in asked:
-            sent = told.pop(report.number, None)
+            sent = assigned.pop(report.number, None)
             if sent is not None and report.number not in taken:
                 self.add(sent)
-        if not told:
-            self._told.pop(node, None)
+        if not assigned:
+            self._assigned.pop(node, None)
 
     def _drop_old(self, now: float) -> None:
-        for slice_number, sent in list(self._untold.items()):
+        for slice_number, sent in list(self._unassigned.items()):
             if sent.since < now - MAX_REPORT_AGE_SECONDS:
-                del self._untold[slice_number]
-        for node, told in list(self._told.items()):
-            for number, sent in list(told.items()):
+                del self._unassigned[slice_number]
+        for node, assigned in list(self._assigned.items()):
+            for number, sent in list(assigned.items()):
                 if sent.since < now - MAX_REPORT_AGE_SECONDS:
-                    del told[number]
-            if not told:
-                del self._told[node]
+                    del assigned[number]
+            if not assigned:
+                del self._assigned[node]
 
     def total_spent(self, name: str) -> int:
-        """Returns what is kept of a customer's use."""
-        kept = list(self._untold.values())
-        for told in self._told.values():
-            kept.extend(told.values())
+        """Returns a customer's spent amount in all unconfirmed reports."""
+        kept = list(self._unassigned.values())
+        for assigned in self._assigned.values():
+            kept.extend(assigned.values())
         return sum(s.uses[name].spent for s in kept if name in s.uses)
 
 
 @attrs.define
 class _Reporter:
+    """Decisions on the reports of one reporter.
+
+    Attributes:
+        heard_at: clock time of its last question, in seconds.
+        decisions: whether each report was accepted, by number.
+    """
+
     heard_at: float
     decisions: collections.OrderedDict[int, bool]
 
 
 class ReceivedReports:
-    """A node's side: which reports it has taken."""
+    """The receiving node's side: which reports it has accepted or refused."""
 
     def __init__(self) -> None:
         self._reporters: dict[str, _Reporter] = {}
@@ -155,17 +180,21 @@
         accepts: bool,
         count: Callable[[UseReport], None],
     ) -> tuple[int, ...]:
-        """Counts each report that is new, unless none can be accepted now.
+        """Counts each new report if this node accepts reports now.
+
+        The decision on a report is final: a repeated report is neither counted
+        again nor accepted after a refusal.
 
         Args:
-            reporter: who tells them, by its start.
-            reports: that it tells, some of them perhaps again.
-            now: the clock, in seconds.
-            accepts: whether this node can have them counted.
-            count: counts one.
+            reporter: name of the reporter, unique for each of its starts.
+            reports: reports in its question, which may have been sent before.
+            now: clock time, in seconds.
+            accepts: whether this node accepts new reports.
+            count: called with each report to be counted.
 
         Returns:
-            The numbers of those that this node has taken, now or before.
+            The numbers of those reports that this node has accepted, now or
+            before.
         """
         known = self._reporters.get(reporter)
         if known is None:
@@ -180,12 +209,12 @@
                     count(report)
             if known.decisions[report.number]:
                 taken.append(report.number)
-        while len(known.decisions) > _DECISIONS_KEPT:
+        while len(known.decisions) > _MAX_KEPT_DECISIONS:
             known.decisions.popitem(last=False)
         return tuple(taken)
 
     def prune_silent(self, now: float) -> None:
-        """Forgets reporters that say nothing any more."""
+        """Removes reporters that have sent no question for a while."""
         for name, known in list(self._reporters.items()):
-            if now - known.heard_at > _REPORTER_SECONDS:
+            if now - known.heard_at > _REPORTER_KEPT_SECONDS:
                 del self._reporters[name]
--- a/testing/app/test_fleet_upkeep.py
+++ b/testing/app/test_fleet_upkeep.py
@@ -1,4 +1,4 @@
-"""Tests of what engines get without being asked."""
+"""Tests of loads and unloads that no request asks for."""
 
 import asyncio
 
@@ -12,7 +12,7 @@
 
 
 async def load(world: EngineWorld, adapter: str) -> str:
-    """Has an adapter loaded somewhere; returns where."""
+    """Has an adapter loaded; returns the name of the engine that holds it."""
     answer = await world.loads.want(
         WantArtifact("s", f"base/{adapter}", 0, (), 2.0)
     )
@@ -20,17 +20,17 @@
 
 
 class TestVersions:
-    async def test_an_old_one_is_replaced_where_it_is(self) -> None:
+    async def test_old_version_is_replaced_in_place(self) -> None:
         world = EngineWorld(1, 2)
         name = await load(world, "a1")
         world.versions["base/a1"] = 2
-        tending = asyncio.create_task(world.tend())
+        upkeep = asyncio.create_task(world.tend())
         await asyncio.sleep(1.0)
-        tending.cancel()
+        upkeep.cancel()
         held = world.placement.engines[name].held["base/a1"]
         assert held.version == 2
 
-    async def test_an_old_copy_makes_room_once_the_new_one_is_elsewhere(
+    async def test_old_copy_is_unloaded_once_another_engine_has_the_new_one(
         self,
     ) -> None:
         world = EngineWorld(2, 2)
@@ -38,12 +38,12 @@
         other = next(n for n in world.placement.engines if n != name)
         world.placement.engines[other].held["base/a1"] = Held(2, 0.0, 0.0)
         world.versions["base/a1"] = 2
-        tending = asyncio.create_task(world.tend())
+        upkeep = asyncio.create_task(world.tend())
         await asyncio.sleep(1.0)
-        tending.cancel()
+        upkeep.cancel()
         assert "base/a1" not in world.placement.engines[name].held
 
-    async def test_one_in_use_does_not_block_its_engine(self) -> None:
+    async def test_old_version_in_use_does_not_block_its_engine(self) -> None:
         world = EngineWorld(2, 2)
         name = await load(world, "a1")
         engine = world.placement.engines[name]
@@ -52,26 +52,28 @@
         other = next(n for n in world.placement.engines if n != name)
         world.placement.engines[other].held["base/a1"] = Held(2, 0.0, 0.0)
         world.versions["base/a1"] = 2
-        tending = asyncio.create_task(world.tend())
+        upkeep = asyncio.create_task(world.tend())
         # An answer of 300 tokens takes up to eight seconds.
         await asyncio.sleep(8.0)
         assert not engine.waits_for
         simulated.used.clear()
         await asyncio.sleep(1.0)
-        tending.cancel()
+        upkeep.cancel()
         assert "base/a1" not in engine.held
 
 
 class TestCopies:
-    async def test_a_crowded_adapter_gets_copies_on_idle_engines(self) -> None:
+    async def test_adapter_in_high_demand_gets_copies_on_idle_engines(
+        self,
+    ) -> None:
         world = EngineWorld(4, 2)
         name = await load(world, "a1")
         now = world.loop.time()
         world.placement.note_used({"base/a1": 100}, now)
         world.busy[name] = 8
-        tending = asyncio.create_task(world.tend())
+        upkeep = asyncio.create_task(world.tend())
         await asyncio.sleep(0.7)
-        tending.cancel()
+        upkeep.cancel()
         holders = [
             engine.name
             for engine in world.placement.engines.values()
@@ -79,15 +81,17 @@
         ]
         assert len(holders) >= 2
 
-    async def test_where_all_are_as_busy_a_copy_helps_nobody(self) -> None:
+    async def test_no_copy_is_loaded_while_all_engines_are_equally_busy(
+        self,
+    ) -> None:
         world = EngineWorld(2, 2)
         await load(world, "a1")
         now = world.loop.time()
         world.placement.note_used({"base/a1": 100}, now)
         world.busy.update({"u0": 8, "u1": 8})
-        tending = asyncio.create_task(world.tend())
+        upkeep = asyncio.create_task(world.tend())
         await asyncio.sleep(1.0)
-        tending.cancel()
+        upkeep.cancel()
         held = [
             engine
             for engine in world.placement.engines.values()
--- a/testing/app/test_news_relay.py
+++ b/testing/app/test_news_relay.py
@@ -1,7 +1,8 @@
-"""Tests of news that relays pass on, with the load of a large fleet.
+"""Tests of relays under the load of a large fleet.
 
-Load pattern: 195 fronts in five data centres, 37 engines, and eighty changes
-of what engines hold a second. Each front asks all the time.
+Load pattern: 195 fronts in five data centres, 37 engines, and 80 changes a
+second of the artifacts that engines hold. Each front has a question pending at
+almost any time.
 """
 
 import asyncio
@@ -15,18 +16,20 @@
 
 _FRONTS = 195
 _ENGINES = 37
-_CHANGES = 80
+_CHANGES_PER_SECOND = 80
 _SECONDS = 5.0
-# A tenth of what all nodes may send for control: 26 KB a second and node.
-_BYTES_MOST = 0.1 * 26_000 * 200
-# Some five ms of one core a second at 0.18 ms a message, beside the fronts of
-# the owner's own data centre.
-_QUESTIONS_OF_A_RELAY = 15
+# Bound on the bytes between data centres, a second: a tenth of the control
+# traffic that all nodes may send, 26 KB a second and node.
+_MAX_BYTES_PER_SECOND = 0.1 * 26_000 * 200
+# Bound on the questions that one relay sends to the owner, a second: about 5 ms
+# of one core a second at 0.18 ms a message. The fronts of the owner's own data
+# centre ask it in addition.
+_MAX_RELAY_QUESTIONS_PER_SECOND = 15
 
 
 class TestLargeFleet:
     async def start(self) -> NewsWorld:
-        """Returns a large fleet whose fronts know what there is."""
+        """Returns a large fleet whose fronts have the owner's state."""
         made = NewsWorld(_FRONTS, relayed=True)
         await made.start(_ENGINES)
         await asyncio.sleep(2.0)
@@ -34,39 +37,43 @@
         made.bytes_between = 0
         return made
 
-    async def test_news_cross_once_for_a_data_centre(self) -> None:
+    async def test_news_crosses_once_per_data_centre(self) -> None:
         world = await self.start()
-        await world.change(_SECONDS, _CHANGES)
-        assert world.bytes_between / _SECONDS < _BYTES_MOST
+        await world.change_adapters(_SECONDS, _CHANGES_PER_SECOND)
+        assert world.bytes_between / _SECONDS < _MAX_BYTES_PER_SECOND
         world.stop()
 
-    async def test_the_owner_is_asked_by_its_own_fronts_and_by_relays(
-        self,
-    ) -> None:
+    async def test_only_near_fronts_and_relays_ask_the_owner(self) -> None:
         world = await self.start()
-        await world.change(_SECONDS, _CHANGES)
-        near = _FRONTS // 5 * 10
-        most = near + len(world.relays) * _QUESTIONS_OF_A_RELAY
-        assert world.questions[NAME] / _SECONDS < most
+        await world.change_adapters(_SECONDS, _CHANGES_PER_SECOND)
+        near_questions = _FRONTS // 5 * 10
+        max_questions = (
+            near_questions + len(world.relays) * _MAX_RELAY_QUESTIONS_PER_SECOND
+        )
+        assert world.questions[NAME] / _SECONDS < max_questions
         world.stop()
 
-    async def test_fronts_know_within_a_third_of_a_second(self) -> None:
+    async def test_fronts_receive_changes_within_a_third_of_a_second(
+        self,
+    ) -> None:
         world = await self.start()
-        changing = asyncio.create_task(world.change(2.0, _CHANGES))
+        changes = asyncio.create_task(
+            world.change_adapters(2.0, _CHANGES_PER_SECOND)
+        )
         await asyncio.sleep(1.0)
-        registry = world.owning.owner._registry
+        registry = world.owner_node.owner._registry
         assert registry is not None
         number = registry.number
         await asyncio.sleep(0.33)
         fronts = [c for n, c in world.clients.items() if n.startswith("f")]
         assert all(client.view.number >= number for client in fronts)
-        await changing
+        await changes
         world.stop()
 
-    async def test_the_owner_knows_all_fronts_and_what_they_use(self) -> None:
+    async def test_owner_knows_all_fronts_and_their_usage(self) -> None:
         world = await self.start()
-        await world.change(1.0, _CHANGES)
-        usage = world.owning.owner._usage
+        await world.change_adapters(1.0, _CHANGES_PER_SECOND)
+        usage = world.owner_node.owner._usage
         assert usage.fronts == _FRONTS
         assert usage.requests_by_upstream() == {"e1": _FRONTS}
         front = world.clients["f1"]
@@ -76,34 +83,36 @@
     async def test_popularity_counts_each_request_once(self) -> None:
         world = await self.start()
         loop = asyncio.get_running_loop()
-        popularity = world.owning.owner._placement.popularity
+        popularity = world.owner_node.owner._placement.popularity
         before = popularity.value("m/a1", loop.time())
-        world.reported = 0
-        await world.change(2.0, _CHANGES)
+        world.report_count = 0
+        await world.change_adapters(2.0, _CHANGES_PER_SECOND)
         counted = popularity.value("m/a1", loop.time()) - before
-        # A few are on their way, and counts fade by a fortieth in the time.
-        assert 0.9 * world.reported < counted < 1.05 * world.reported
+        # A few reports are in transit, and counts decay by a fortieth.
+        assert 0.9 * world.report_count < counted < 1.05 * world.report_count
         world.stop()
 
 
 class TestLostRelay:
     async def start(self) -> NewsWorld:
-        """Returns a fleet with one relay that freezes."""
+        """Returns a small fleet in which tests freeze a relay."""
         made = NewsWorld(40, relayed=True)
         await made.start(4)
         await asyncio.sleep(2.0)
         return made
 
-    async def test_its_fronts_ask_the_owner_within_a_second(self) -> None:
+    async def test_fronts_of_a_frozen_relay_get_the_owner_s_news_soon(
+        self,
+    ) -> None:
         world = await self.start()
         world.frozen.add("r-b")
-        world.load("e1", "m/a9")
+        world.add_artifact("e1", "m/a9")
         await asyncio.sleep(1.3)
         front = world.clients["f1"]
         assert front.view.upstreams["e1"].resident == {"m": 1, "m/a9": 1}
         world.stop()
 
-    async def test_they_seldom_wait_for_it_again(self) -> None:
+    async def test_fronts_seldom_ask_a_frozen_relay(self) -> None:
         world = await self.start()
         world.frozen.add("r-b")
         await asyncio.sleep(2.0)
@@ -113,7 +122,7 @@
         assert world.questions["r-b"] <= 4 * fronts
         world.stop()
 
-    async def test_they_come_back_to_it(self) -> None:
+    async def test_fronts_return_to_a_recovered_relay(self) -> None:
         world = await self.start()
         world.frozen.add("r-b")
         await asyncio.sleep(2.0)
@@ -124,13 +133,15 @@
         assert world.questions["r-b"] > 0
         world.stop()
 
-    async def test_one_that_lost_the_owner_sends_its_fronts_there(self) -> None:
+    async def test_relay_that_lost_the_owner_sends_its_fronts_to_it(
+        self,
+    ) -> None:
         world = await self.start()
         # The relay's own questions get no answer any more, while its fronts
-        # still reach both.
+        # still reach the relay and the owner.
         world.clients["r-b"]._owner = lambda: ""
         await asyncio.sleep(2.0)
-        world.load("e1", "m/a9")
+        world.add_artifact("e1", "m/a9")
         await asyncio.sleep(1.0)
         front = world.clients["f1"]
         assert front.view.upstreams["e1"].resident == {"m": 1, "m/a9": 1}
--- a/testing/app/test_ownerless_reports.py
+++ b/testing/app/test_ownerless_reports.py
@@ -1,8 +1,9 @@
-"""Reports of control nodes that ask each other while nobody owns the fleet.
+"""Tests of reports between control nodes while there is no fleet owner.
 
-Each kept what the others told it, and told that on. So 1,000 tokens became
-millions within a second, and six fronts ten thousand: the next owner refused
-customers within their limits, and took nearly all fronts for silent.
+They guard against nodes that accept each other's reports and pass them on.
+1,000 tokens then became millions within a second, and six fronts counted as ten
+thousand: the next owner refused customers within their limits and considered
+nearly all fronts silent.
 """
 
 import asyncio
@@ -21,12 +22,12 @@
 
 _CONTROLS = 5
 _FRONTS = 74
-# How often another node is taken for the leader, in seconds.
-_LEADER_SECONDS = 0.1
+# Time after which another node counts as the leader, in seconds.
+_LEADER_CHANGE_SECONDS = 0.1
 
 
-class Ownerless:
-    """Control nodes and fronts, and a leader's name that moves on."""
+class OwnerlessCluster:
+    """Control nodes and fronts with a presumed leader that keeps changing."""
 
     def __init__(self) -> None:
         self.relays: dict[str, NewsRelay] = {}
@@ -57,7 +58,7 @@
 
     def _leader(self) -> str:
         now = asyncio.get_running_loop().time()
-        return f"c{int(now / _LEADER_SECONDS) % _CONTROLS}"
+        return f"c{int(now / _LEADER_CHANGE_SECONDS) % _CONTROLS}"
 
     def stop(self) -> None:
         for task in self._tasks:
@@ -65,14 +66,14 @@
 
 
 class Peers:
-    """A node's way to the others."""
+    """A node's connection to the others."""
 
-    def __init__(self, world: Ownerless, name: str) -> None:
+    def __init__(self, world: OwnerlessCluster, name: str) -> None:
         self._world = world
         self._name = name
 
     def send(self, address: str, message: Any) -> None:
-        """Hands on nothing: there are no answers to take back."""
+        """Drops the message: the test needs no one-way messages."""
 
     async def call(
         self, address: str, message: WatchFleet, timeout: float
@@ -84,8 +85,8 @@
 
 
 class TestWithoutOwner:
-    async def test_what_was_sent_is_kept_once(self) -> None:
-        world = Ownerless()
+    async def test_sent_amount_is_kept_once(self) -> None:
+        world = OwnerlessCluster()
         since = asyncio.get_running_loop().time()
         sent = Sent({"alice": RateUse(1000, 1000)}, {}, since)
         world.clients["f3"].reports.add(sent)
@@ -97,8 +98,8 @@
             assert sum(kept) == 1000
         world.stop()
 
-    async def test_no_node_speaks_for_more_fronts_than_there_are(self) -> None:
-        world = Ownerless()
+    async def test_no_node_reports_more_fronts_than_exist(self) -> None:
+        world = OwnerlessCluster()
         for _ in range(30):
             await asyncio.sleep(0.1)
             fronts = [
--- a/testing/app/test_upstream_limits.py
+++ b/testing/app/test_upstream_limits.py
@@ -1,4 +1,4 @@
-"""A front and the limits that upstreams name in answers."""
+"""Tests of a front under rate limits that upstreams name in answers."""
 
 import asyncio
 import time
@@ -16,8 +16,8 @@
 _NOT_RUN = "Not-Run: 1"
 
 
-class Naming:
-    """Answers, and names a limit while it has one."""
+class LimitingUpstream:
+    """Upstream that names its limit in each answer, if it has one."""
 
     def __init__(self, limit: str, status: int = 200) -> None:
         self.limit = limit
@@ -32,8 +32,10 @@
         await call.answer(self.status, b"x", "Server-Stamp: s", *said)
 
 
-async def ask_often(world: FrontWorld, seconds: float, path: str) -> list[int]:
-    """Returns the statuses of 20 requests a second."""
+async def send_requests(
+    world: FrontWorld, seconds: float, path: str
+) -> list[int]:
+    """Sends 20 requests a second; returns the statuses of the answers."""
     client = await world.open()
     statuses = []
     headers = STREAM if "stream" in path else {}
@@ -43,52 +45,52 @@
     return statuses
 
 
-def tell_share(world: FrontWorld, share: float) -> None:
-    """Has the owner say which share of requests may go to an upstream."""
+def set_share(world: FrontWorld, share: float) -> None:
+    """Applies news with the share of requests that may go to `u1`."""
     now = asyncio.get_running_loop().time()
     world.front.limits.rates.take_news({"u1": RateState(share, 0.0)}, 1, now)
 
 
 class TestLimit:
-    async def test_an_upstream_gets_what_it_names(
+    async def test_upstream_gets_no_more_than_its_limit(
         self, world: FrontWorld
     ) -> None:
-        limited, other = Naming("3"), Naming("")
+        limited, other = LimitingUpstream("3"), LimitingUpstream("")
         await world.add("u1", limited)
         await world.add("u2", other)
-        statuses = await ask_often(world, 4.5, "/safe/x")
+        statuses = await send_requests(world, 4.5, "/safe/x")
         assert set(statuses) == {200}
         assert count_busiest(limited.times, 0.0) <= allowed(3.0)
         assert len(limited.times) >= 9
 
-    async def test_the_owner_s_choice_is_looked_at_too(
+    async def test_limit_applies_to_the_owner_s_choice(
         self, world: FrontWorld
     ) -> None:
-        limited = Naming("3")
+        limited = LimitingUpstream("3")
         await world.add("u1", limited, "engine", base__a1=1)
-        await world.add("u2", Naming(""), "engine", base__a1=1)
+        await world.add("u2", LimitingUpstream(""), "engine", base__a1=1)
         world.fleet.assigned = ArtifactReady("u1", 1)
-        statuses = await ask_often(world, 3.0, "/stream/x")
+        statuses = await send_requests(world, 3.0, "/stream/x")
         assert set(statuses) == {200}
         assert count_busiest(limited.times, 0.0) <= allowed(3.0)
 
-    async def test_what_only_it_holds_is_wanted_elsewhere(
+    async def test_adapter_held_only_by_a_limited_upstream_is_wanted_elsewhere(
         self, world: FrontWorld
     ) -> None:
-        await world.add("u1", Naming("0.5"), "engine", base__a1=1)
-        await world.add("u2", Naming(""), "engine")
+        await world.add("u1", LimitingUpstream("0.5"), "engine", base__a1=1)
+        await world.add("u2", LimitingUpstream(""), "engine")
         world.fleet.answer = ArtifactReady("u2", 1)
-        statuses = await ask_often(world, 1.0, "/stream/x")
+        statuses = await send_requests(world, 1.0, "/stream/x")
         assert set(statuses) == {200}
         assert all("u1" in want.avoid for want in world.fleet.wants)
         assert world.fleet.wants
 
-    async def test_one_that_names_it_while_a_request_waits(
+    async def test_limit_named_while_a_request_waits_applies_to_it(
         self, world: FrontWorld
     ) -> None:
-        limited = Naming("0.5")
+        limited = LimitingUpstream("0.5")
         await world.add("u1", limited, "engine", base__a1=1)
-        await world.add("u2", Naming(""), "engine")
+        await world.add("u2", LimitingUpstream(""), "engine")
         world.fleet.answer = ArtifactReady("u2", 1)
         first, second = await world.open(), await world.open()
         await first.ask("/stream/x", **STREAM)
@@ -96,26 +98,26 @@
         await second.ask("/stream/x", **STREAM)
         assert len(limited.times) == 1
 
-    async def test_one_that_turns_requests_away_is_not_failing(
+    async def test_refusals_with_a_limit_are_no_failures(
         self, world: FrontWorld
     ) -> None:
-        await world.add("u1", Naming("20", 503))
-        await ask_often(world, 1.0, "/safe/x")
+        await world.add("u1", LimitingUpstream("20", 503))
+        await send_requests(world, 1.0, "/safe/x")
         now = asyncio.get_running_loop().time()
         assert not world.front.chooser.outcomes.is_ejected("u1", now)
         assert world.front.chooser.outcomes.failure_rate("u1", now) == 0
 
 
 class TestPlainChoice:
-    async def test_no_line_tells_of_a_refusal_that_was_none(
+    async def test_choosing_another_upstream_logs_no_refusal(
         self, world: FrontWorld
     ) -> None:
-        await world.add("u1", Naming("0.5"))
-        await world.add("u2", Naming(""))
+        await world.add("u1", LimitingUpstream("0.5"))
+        await world.add("u2", LimitingUpstream(""))
         logger = eliot.MemoryLogger()
         before = eliot.testing.swap_logger(logger)
         try:
-            statuses = await ask_often(world, 1.0, "/safe/x")
+            statuses = await send_requests(world, 1.0, "/safe/x")
         finally:
             eliot.testing.swap_logger(before)
         assert set(statuses) == {200}
@@ -124,14 +126,14 @@
 
 
 class TestAllLimited:
-    async def test_a_request_is_refused_at_once_with_when_to_come_back(
+    async def test_request_is_refused_at_once_with_retry_after(
         self, world: FrontWorld
     ) -> None:
-        limited = Naming("3")
+        limited = LimitingUpstream("3")
         await world.add("u1", limited)
         client = await world.open()
         await client.ask("/safe/x")
-        tell_share(world, 0.0)
+        set_share(world, 0.0)
         began = time.monotonic()
         answers = [await client.ask("/safe/x") for _ in range(10)]
         assert time.monotonic() - began < 0.3
@@ -142,33 +144,35 @@
     async def test_the_share_that_may_pass_is_served(
         self, world: FrontWorld
     ) -> None:
-        await world.add("u1", Naming("3"))
+        await world.add("u1", LimitingUpstream("3"))
         client = await world.open()
         await client.ask("/safe/x")
-        tell_share(world, 1.0)
+        set_share(world, 1.0)
         assert (await client.ask("/safe/x")).status == 200
 
 
-class TestEnd:
-    async def test_its_share_comes_back(self, world: FrontWorld) -> None:
-        limited = Naming("2")
+class TestLiftedLimit:
+    async def test_upstream_gets_its_share_again(
+        self, world: FrontWorld
+    ) -> None:
+        limited = LimitingUpstream("2")
         await world.add("u1", limited)
-        await ask_often(world, 1.0, "/safe/x")
+        await send_requests(world, 1.0, "/safe/x")
         limited.limit = ""
-        await ask_often(world, 6.0, "/safe/x")
-        statuses = await ask_often(world, 1.0, "/safe/x")
+        await send_requests(world, 6.0, "/safe/x")
+        statuses = await send_requests(world, 1.0, "/safe/x")
         assert set(statuses) == {200}
 
 
-class TestReadings:
+class TestParsing:
     @pytest.mark.parametrize(
         "said", ["", "-3", "many", "1e3", "1" * 40, "NaN", "3 4"]
     )
-    async def test_what_is_no_number_is_no_limit(
+    async def test_invalid_limit_is_ignored(
         self, world: FrontWorld, said: str
     ) -> None:
-        await world.add("u1", Naming(said))
-        statuses = await ask_often(world, 0.5, "/safe/x")
+        await world.add("u1", LimitingUpstream(said))
+        statuses = await send_requests(world, 0.5, "/safe/x")
         assert set(statuses) == {200}
         assert not world.front.limits.known
 
@@ -183,10 +187,10 @@
             ("5\r\nServer-Limit: none", 5.0),
         ],
     )
-    async def test_what_is_kept_is_never_nothing(
+    async def test_stored_limit_is_never_zero(
         self, world: FrontWorld, said: str, kept: float
     ) -> None:
-        await world.add("u1", Naming(said))
+        await world.add("u1", LimitingUpstream(said))
         await (await world.open()).ask("/safe/x")
         now = asyncio.get_running_loop().time()
         assert world.front.limits.allowed("u1", now) == kept
--- a/testing/core/fleet/test_backlog.py
+++ b/testing/core/fleet/test_backlog.py
@@ -1,4 +1,4 @@
-"""Tests of what engines have yet to read."""
+"""Tests of the prompts that engines have yet to read."""
 
 import pytest
 
@@ -9,7 +9,7 @@
     def test_an_idle_engine_begins_at_once(self) -> None:
         assert Backlogs().wait_seconds("e1", 5, 0.0) == 0.0
 
-    def test_it_is_of_tokens_rather_than_requests(self) -> None:
+    def test_wait_depends_on_tokens_rather_than_requests(self) -> None:
         backlogs = Backlogs()
         for number in range(5):
             backlogs.record_sent("short", f"s{number}", 600, 2, 0.0)
@@ -18,7 +18,7 @@
             "long", 5, 0.0
         )
 
-    def test_what_is_behind_counts_only_while_it_is_read(self) -> None:
+    def test_prompt_of_higher_rank_counts_only_while_it_is_read(self) -> None:
         backlogs = Backlogs()
         for number in range(4):
             backlogs.record_sent("e1", f"l{number}", 9000, 8, 0.0)
@@ -26,7 +26,7 @@
         assert backlogs.wait_seconds("e1", 2, 0.2) == pytest.approx(0.1)
         assert backlogs.wait_seconds("e1", 8, 0.0) == pytest.approx(1.2)
 
-    def test_it_shrinks_as_the_engine_reads(self) -> None:
+    def test_wait_shrinks_as_the_engine_reads(self) -> None:
         backlogs = Backlogs()
         backlogs.record_sent("e1", "l1", 9000, 4, 0.0)
         later = backlogs.wait_seconds("e1", 4, 0.2)
@@ -34,7 +34,7 @@
         backlogs.record_ended("e1", "l1", 0.3, was_read=True)
         assert backlogs.wait_seconds("e1", 4, 0.3) == 0.0
 
-    def test_a_front_that_is_gone_leaves_nothing_for_good(self) -> None:
+    def test_prompts_of_a_lost_front_are_pruned(self) -> None:
         backlogs = Backlogs()
         backlogs.record_sent("e1", "l1", 9000, 4, 0.0)
         backlogs.prune_lost(3.0)
@@ -42,9 +42,7 @@
         backlogs.prune_lost(10.0)
         assert backlogs.backlog_seconds("e1", 10.0) == 0.0
 
-    def test_an_end_that_comes_twice_or_from_nowhere_is_passed_over(
-        self,
-    ) -> None:
+    def test_repeated_or_unknown_end_is_ignored(self) -> None:
         backlogs = Backlogs()
         backlogs.record_ended("e1", "unknown", 0.0, was_read=True)
         backlogs.record_sent("e1", "l1", 9000, 4, 0.0)
@@ -52,51 +50,51 @@
         backlogs.record_ended("e1", "l1", 0.4, was_read=True)
         assert backlogs.backlog_seconds("e1", 0.4) == 0.0
 
-    def test_one_that_left_before_it_was_told_counts_nowhere(self) -> None:
+    def test_end_without_an_engine_removes_the_prompt(self) -> None:
         backlogs = Backlogs()
         backlogs.record_sent("e1", "l1", 9000, 4, 0.0)
         backlogs.record_ended("", "l1", 0.1, was_read=False)
         assert backlogs.backlog_seconds("e1", 0.1) == 0.0
 
-    def test_the_next_one_read_is_of_the_lowest_rank(self) -> None:
+    def test_prompt_of_the_lowest_rank_is_read_next(self) -> None:
         backlogs = Backlogs()
         backlogs.record_sent("e1", "first", 3000, 3, 0.0)
         backlogs.record_sent("e1", "late", 30_000, 9, 0.0)
         backlogs.record_sent("e1", "short", 600, 2, 0.0)
         backlogs.record_ended("e1", "first", 0.1, was_read=True)
-        # The short one is read now; the late one waits for all.
+        # The engine reads the short prompt now; the late one is read last.
         assert backlogs.wait_seconds("e1", 2, 0.1) == pytest.approx(0.02)
 
-    def test_one_that_leaves_while_it_is_read_frees_the_engine(self) -> None:
+    def test_prompt_that_ends_unread_frees_the_engine(self) -> None:
         backlogs = Backlogs()
         backlogs.record_sent("e1", "l1", 30_000, 3, 0.0)
         backlogs.record_ended("e1", "l1", 0.1, was_read=False)
         assert backlogs.wait_seconds("e1", 3, 0.1) == 0.0
 
 
-class TestPromises:
-    def test_what_comes_before_is_ahead(self) -> None:
+class TestReservations:
+    def test_reserved_prompt_sent_before_is_ahead(self) -> None:
         backlogs = Backlogs()
         backlogs.reserve("e1", "l1", 9000, 3, 0.3)
         assert backlogs.wait_seconds("e1", 3, 0.0, 0.3) > 0.0
         assert backlogs.wait_seconds("e1", 3, 0.0) == 0.0
 
-    def test_each_counts_once_when_it_is_sent(self) -> None:
+    def test_sent_prompt_replaces_its_reservation(self) -> None:
         backlogs = Backlogs()
         backlogs.reserve("e1", "l1", 9000, 3, 0.3)
         backlogs.record_sent("e1", "l1", 9000, 3, 0.3)
         assert backlogs.wait_seconds("e1", 3, 0.3) == pytest.approx(0.3)
 
-    def test_one_that_leaves_counts_no_more(self) -> None:
+    def test_released_prompt_no_longer_counts(self) -> None:
         backlogs = Backlogs()
         backlogs.reserve("e1", "l1", 9000, 3, 0.3)
         backlogs.release("l1")
         assert backlogs.wait_seconds("e1", 3, 0.3) == 0.0
 
 
-class TestRate:
+class TestReadingTimes:
     @pytest.mark.parametrize("rate", [12_000, 60_000])
-    def test_it_follows_each_engine(self, rate: int) -> None:
+    def test_predictions_follow_each_engine(self, rate: int) -> None:
         backlogs = Backlogs()
         now = 0.0
         for number in range(60):
@@ -110,7 +108,7 @@
         assert taken == pytest.approx(9000 / rate + 0.02, rel=0.1)
         assert backlogs.read_seconds("e2", 9000) == pytest.approx(0.32, rel=0.1)
 
-    def test_an_engine_not_seen_yet_is_taken_for_the_others(self) -> None:
+    def test_new_engine_is_predicted_by_the_others(self) -> None:
         backlogs = Backlogs()
         now = 0.0
         for number in range(60):
--- a/testing/core/fleet/test_limit_loads.py
+++ b/testing/core/fleet/test_limit_loads.py
@@ -1,7 +1,7 @@
-"""Limits of upstreams over many fronts, under loads that go far beyond them.
+"""Tests of upstreams' rate limits over many fronts under far higher loads.
 
-Load pattern: an upstream that could get ten or forty requests a second names
-1.8 or 3, and 6 to 330 fronts send there.
+Load pattern: an upstream with an offered load of 10 or 40 requests a second
+names a limit of 1.8 or 3, and 6 to 330 fronts send requests to it.
 """
 
 import statistics
@@ -30,7 +30,7 @@
 class TestLimitLoads:
     @pytest.mark.parametrize("fronts", FRONTS)
     @pytest.mark.parametrize(("limit", "offered"), [(1.8, 10.0), (3.0, 40.0)])
-    def test_it_is_kept_and_used(
+    def test_limit_is_kept_and_used(
         self, fronts: int, limit: float, offered: float
     ) -> None:
         plan = make_limit_plan(fronts, limit, offered)
@@ -40,7 +40,7 @@
         assert statistics.mean(passed) >= 0.9 * limit
 
     @pytest.mark.parametrize("fronts", FRONTS)
-    def test_it_is_kept_while_the_owner_is_lost(self, fronts: int) -> None:
+    def test_limit_is_kept_while_the_owner_is_lost(self, fronts: int) -> None:
         plan = attrs.evolve(
             make_limit_plan(fronts, 3.0, 20.0),
             owner_lost_at=10.0,
@@ -50,11 +50,9 @@
             assert emulate(plan, seed).play().most_in_window <= allowed(3.0)
 
     @pytest.mark.parametrize("seed", [1, 2, 3])
-    def test_a_small_share_of_many_offers_outlives_the_owner(
-        self, seed: int
-    ) -> None:
-        # Told in thousandths, and taken for a twentieth by the next owner, a
-        # share of one in five hundred let many times the limit through.
+    def test_small_share_survives_a_change_of_owner(self, seed: int) -> None:
+        # If a share of 1/500 is sent rounded to thousandths and the next owner
+        # takes it for a twentieth, many times the limit passes.
         plan = attrs.evolve(
             make_limit_plan(330, 1.8, 900.0),
             seconds=20.0,
@@ -66,7 +64,7 @@
         assert play.passed_second_half > 0
 
     @pytest.mark.parametrize("fronts", FRONTS)
-    def test_it_is_kept_while_half_of_the_fronts_are_cut_off(
+    def test_limit_is_kept_while_half_of_the_fronts_are_cut_off(
         self, fronts: int
     ) -> None:
         plan = attrs.evolve(
@@ -77,7 +75,7 @@
             assert emulate(plan, seed).play().most_in_window <= allowed(3.0)
 
     @pytest.mark.parametrize("fronts", FRONTS)
-    def test_it_is_kept_when_it_is_lowered(self, fronts: int) -> None:
+    def test_limit_is_kept_when_it_is_lowered(self, fronts: int) -> None:
         plan = attrs.evolve(
             make_limit_plan(fronts, 10.0, 40.0), lowered_at=13.0, lowered_to=0.3
         )
--- a/testing/core/fleet/test_usage.py
+++ b/testing/core/fleet/test_usage.py
@@ -1,4 +1,4 @@
-"""Tests of what fronts say they use."""
+"""Tests of the sums of the usage that fronts report."""
 
 from ridgesill.core.fleet.usage import Usage, UsageReport
 
@@ -6,12 +6,12 @@
 def report(
     busy: dict[str, dict[str, int]], fronts: int = 1, age: float = 0.0
 ) -> UsageReport:
-    """Returns what a front or a relay says."""
+    """Returns the report of a front or a relay."""
     return UsageReport({}, busy, fronts, age)
 
 
 class TestUsage:
-    def test_fronts_add_up(self) -> None:
+    def test_reports_of_fronts_are_summed(self) -> None:
         usage = Usage()
         usage.record_report("f1", report({"u1": {"m/a1": 2, "m/a2": 1}}), 0.0)
         usage.record_report(
@@ -20,13 +20,13 @@
         assert usage.requests_by_upstream() == {"u1": 4, "u2": 4}
         assert usage.artifacts_in_use("u1") == {"m/a1", "m/a2"}
 
-    def test_the_latest_word_counts(self) -> None:
+    def test_latest_report_replaces_the_earlier(self) -> None:
         usage = Usage()
         usage.record_report("f1", report({"u1": {"m/a1": 2}}), 0.0)
         usage.record_report("f1", report({}), 1.0)
         assert usage.requests_by_upstream() == {}
 
-    def test_a_silent_front_uses_nothing(self) -> None:
+    def test_silent_front_is_pruned(self) -> None:
         usage = Usage()
         usage.record_report("f1", report({"u1": {"m/a1": 2}}), 0.0)
         usage.prune_silent(5.0)
@@ -53,7 +53,7 @@
         assert (usage.fronts, usage.reporter_count) == (41, 2)
         assert usage.requests_by_upstream() == {"u1": 7}
 
-    def test_one_without_fronts_any_more_counts_for_nobody(self) -> None:
+    def test_relay_without_fronts_is_removed(self) -> None:
         usage = Usage()
         usage.record_report("r1", report({"u1": {"m/a1": 5}}, fronts=40), 0.0)
         usage.record_report("r1", report({}, fronts=0), 0.1)
@@ -63,19 +63,19 @@
             usage.requests_by_upstream(),
         ) == (0, 0, {})
 
-    def test_its_word_is_as_old_as_that_of_its_fronts(self) -> None:
+    def test_relay_report_is_as_old_as_its_oldest_front_report(self) -> None:
         usage = Usage()
         usage.record_report("r1", report({}, fronts=40, age=0.4), 10.0)
         assert not usage.has_reports_since(9.7)
         assert usage.has_reports_since(9.5)
 
-    def test_a_slow_front_does_not_make_its_relay_gone(self) -> None:
+    def test_slow_front_does_not_get_its_relay_pruned(self) -> None:
         usage = Usage()
         usage.record_report("r1", report({}, fronts=40, age=1.9), 10.0)
         usage.prune_silent(10.5)
         assert usage.fronts == 40
 
-    def test_the_sum_of_reports_is_a_report(self) -> None:
+    def test_relay_report_sums_its_fronts(self) -> None:
         relay = Usage()
         relay.record_report("f1", report({"u1": {"m/a1": 2}}), 1.0)
         relay.record_report(
@@ -87,13 +87,13 @@
         assert summed.fronts == 2
         assert abs(summed.age - 0.5) < 1e-9
 
-    def test_without_fronts_there_is_nothing_to_say(self) -> None:
+    def test_relay_report_without_fronts_is_empty(self) -> None:
         summed = Usage().make_report({}, {}, 1.5)
         assert (summed.fronts, summed.busy, summed.age) == (0, {}, 0.0)
 
 
-class TestRests:
-    def test_an_upstream_that_most_fronts_must_leave_alone_shows(self) -> None:
+class TestResting:
+    def test_upstream_resting_for_half_of_the_fronts_is_found(self) -> None:
         usage = Usage()
         for front in ("f1", "f2", "f3"):
             usage.record_report(front, UsageReport(), 0.0)
