--- a/src/ridgesill/core/pool/hints.py
+++ b/src/ridgesill/core/pool/hints.py
@@ -9,9 +9,9 @@
 
 from ridgesill.core.pool.messages import Digest
 
-_WHOLE_EVERY = 30.0
+_WHOLE_EVERY_SECONDS = 30.0
 # Load changes all the time; what is resident matters more.
-_LOAD_EVERY = 1.0
+_LOAD_EVERY_SECONDS = 1.0
 
 
 @attrs.define
@@ -58,10 +58,10 @@
     pool: str
     epoch: int
     _number: int = 0
-    _sent: frozenset[str] = frozenset()
-    _told: frozenset[str] = frozenset()
-    _whole_at: float = float("-inf")
-    _made_at: float = float("-inf")
+    _sent_resident: frozenset[str] = frozenset()
+    _receivers: frozenset[str] = frozenset()
+    _whole_built_at: float = float("-inf")
+    _built_at: float = float("-inf")
 
     def build(
         self,
@@ -73,25 +73,26 @@
     ) -> Digest | None:
         """Returns the next digest for these receivers; None for no need."""
         is_whole = (
-            bool(receivers - self._told) or now - self._whole_at >= _WHOLE_EVERY
+            bool(receivers - self._receivers)
+            or now - self._whole_built_at >= _WHOLE_EVERY_SECONDS
         )
-        is_due = now - self._made_at >= _LOAD_EVERY
-        if not (is_whole or is_due or resident != self._sent):
+        is_due = now - self._built_at >= _LOAD_EVERY_SECONDS
+        if not (is_whole or is_due or resident != self._sent_resident):
             return None
         if is_whole:
-            self._whole_at = now
-        self._made_at = now
-        before = frozenset() if is_whole else self._sent
+            self._whole_built_at = now
+        self._built_at = now
+        previous = frozenset() if is_whole else self._sent_resident
         self._number += 1
-        self._sent = resident
-        self._told = receivers
+        self._sent_resident = resident
+        self._receivers = receivers
         return Digest(
             self.pool,
             self.epoch,
             self._number,
             is_whole,
-            tuple(sorted(resident - before)),
-            tuple(sorted(before - resident)),
+            tuple(sorted(resident - previous)),
+            tuple(sorted(previous - resident)),
             spare,
             waiting,
         )
--- a/src/ridgesill/core/pool/loads.py
+++ b/src/ridgesill/core/pool/loads.py
@@ -23,9 +23,9 @@
 from ridgesill.core.pool.waiting import Waiter
 from ridgesill.core.runners import LOAD, UNLOAD, Order
 
-_FAILED_LOADS_MOST = 3
-_FAILED_LOAD_PAUSE = 2.0
-_PERMIT_PATIENCE = 5.0
+_MAX_FAILED_LOADS = 3
+_FAILED_LOAD_PAUSE_SECONDS = 2.0
+_PERMIT_TIMEOUT_SECONDS = 5.0
 _SMOOTHING = 0.2
 
 
@@ -36,105 +36,105 @@
         seconds: what a load takes, as a moving mean.
     """
 
-    def __init__(self, context: PoolState, placement: Placement) -> None:
+    def __init__(self, state: PoolState, placement: Placement) -> None:
         self.seconds = 0.5
-        self._context = context
+        self._state = state
         self._placement = placement
         self._failed: dict[str, int] = {}
-        self._exhausted = False
+        self._has_no_target = False
         self._ids = itertools.count()
 
     def begin_pass(self) -> None:
         """Notes that a pass over the queue begins."""
-        self._exhausted = False
+        self._has_no_target = False
 
     def handle_permit(self, message: GrantPermit, now: float) -> None:
         """Begins the load that a permit is for, or another in its place."""
-        load = self._context.loads.get(message.permit)
+        load = self._state.loads.get(message.permit)
         if load is None:
-            self._give_back(message.permit)
+            self._return_permit(message.permit)
             return
         # Much may have changed while the permit was on its way; what it was
         # asked for may be served, given up, or without a slot.
-        if not self._begin_load(load, now) and not self._begin_other(load, now):
+        if not self._start_load(load, now) and not self._start_other_load(
+            load, now
+        ):
             self.cancel(load)
 
     def cancel(self, load: Load) -> None:
         """Ends a load and gives its permit back."""
-        self._context.loads.pop(load.permit, None)
-        self._give_back(load.permit)
+        self._state.loads.pop(load.permit, None)
+        self._return_permit(load.permit)
 
     def cancel_unordered(self) -> None:
         """Gives up all loads that have not been ordered."""
-        for load in list(self._context.loads.values()):
+        for load in list(self._state.loads.values()):
             if not load.is_ordered:
                 self.cancel(load)
 
     def cancel_on_runner(self, runner: str) -> None:
         """Gives up all loads of a runner."""
-        for load in list(self._context.loads.values()):
+        for load in list(self._state.loads.values()):
             if load.runner == runner:
                 self.cancel(load)
 
     def tick(self, now: float) -> None:
         """Asks anew where an allocator may have lost the question."""
-        for load in list(self._context.loads.values()):
+        for load in list(self._state.loads.values()):
             if (
                 not load.is_ordered
-                and now - load.requested_at > _PERMIT_PATIENCE
+                and now - load.requested_at > _PERMIT_TIMEOUT_SECONDS
             ):
                 self.cancel(load)
 
-    def _give_back(self, permit: str) -> None:
-        give_back = ReturnPermit(permit, self._context.service)
-        self._context.output.append(ToAllocator(give_back))
+    def _return_permit(self, permit: str) -> None:
+        return_message = ReturnPermit(permit, self._state.service)
+        self._state.output.append(ToAllocator(return_message))
 
     def request_load(
         self, group: list[Waiter], adapter: str, now: float
     ) -> None:
         """Asks for a load if those who wait for an adapter call for one."""
-        holders = self._context.holders(adapter)
-        if self._context.is_loading(adapter):
-            self._note_stall(group, holders, now)
+        holders = self._state.holders(adapter)
+        if self._state.is_loading(adapter):
+            self._record_stall(group, holders, now)
             return
         if holders and not self._placement.needs_copy(group, holders, now):
             return
-        self._note_stall(group, holders, now)
-        if not holders and self._exhausted:
+        self._record_stall(group, holders, now)
+        if not holders and self._has_no_target:
             return
         runner = self._placement.choose_target(adapter, holders, now)
         if runner is not None:
-            self._ask_load(runner, adapter, len(group), now)
+            self._request_permit(runner, adapter, len(group), now)
         elif not holders:
             # Nothing can be displaced, so the rest of this pass need not
             # look again: under overload it would for hundreds of waiters.
-            self._exhausted = True
+            self._has_no_target = True
 
-    def _note_stall(
+    def _record_stall(
         self, group: list[Waiter], holders: list[RunnerState], now: float
     ) -> None:
         if holders and any(h.is_ready(group[0].admit.adapter) for h in holders):
             return
         for waiter in group:
-            if not waiter.stalled:
-                waiter.stalled = True
+            if not waiter.is_stalled:
+                waiter.is_stalled = True
                 waiter.missing_since = now
 
-    def _ask_load(
+    def _request_permit(
         self, runner: RunnerState, adapter: str, urgency: int, now: float
     ) -> None:
-        permit = f"{self._context.pool}#{self._context.epoch}#{next(self._ids)}"
-        self._context.loads[permit] = Load(permit, runner.name, adapter, now)
-        self._placement.forget(runner.name)
-        ask = AskPermit(
-            permit, self._context.pool, self._context.service, urgency
-        )
-        self._context.output.append(ToAllocator(ask))
+        permit = f"{self._state.pool}#{self._state.epoch}#{next(self._ids)}"
+        self._state.loads[permit] = Load(permit, runner.name, adapter, now)
+        self._placement.invalidate(runner.name)
+        ask = AskPermit(permit, self._state.pool, self._state.service, urgency)
+        self._state.output.append(ToAllocator(ask))
 
-    def _begin_load(self, load: Load, now: float) -> bool:
+    def _start_load(self, load: Load, now: float) -> bool:
         """Orders a load, or returns False if it can't or need not be."""
-        runner = self._context.runners.get(load.runner)
-        wanted = self._context.waiting.group(load.adapter)
+        runner = self._state.runners.get(load.runner)
+        wanted = self._state.waiting.group(load.adapter)
         if runner is None or not wanted or load.adapter in runner.slots:
             return False
         is_full = runner.free_slots() <= 0
@@ -150,26 +150,28 @@
             self.order(LOAD, runner, load.adapter)
         return True
 
-    def _begin_other(self, load: Load, now: float) -> bool:
+    def _start_other_load(self, load: Load, now: float) -> bool:
         """Uses a permit for the first other adapter that waits for one.
 
         A permit given back has already cost the store's rate.
         """
         self._placement.begin_pass()
-        del self._context.loads[load.permit]
-        for group in self._context.waiting.groups():
+        del self._state.loads[load.permit]
+        for group in self._state.waiting.groups():
             adapter = group[0].admit.adapter
-            if not adapter or self._context.is_loading(adapter):
+            if not adapter or self._state.is_loading(adapter):
                 continue
-            if self._context.holders(adapter):
+            if self._state.holders(adapter):
                 continue
             runner = self._placement.choose_target(adapter, [], now)
             if runner is None:
                 break
-            other = Load(load.permit, runner.name, adapter, load.requested_at)
-            self._context.loads[load.permit] = other
-            return self._begin_load(other, now)
-        self._context.loads[load.permit] = load
+            substitute = Load(
+                load.permit, runner.name, adapter, load.requested_at
+            )
+            self._state.loads[load.permit] = substitute
+            return self._start_load(substitute, now)
+        self._state.loads[load.permit] = load
         return False
 
     def _order_unload(
@@ -186,17 +188,17 @@
             runner.name,
             runner.announcement.address,
             adapter,
-            self._context.epoch,
-            self._context.limits.order_deadline,
+            self._state.epoch,
+            self._state.limits.order_deadline,
         )
-        self._context.output.append(SendOrder(order))
+        self._state.output.append(SendOrder(order))
 
     def handle_result(self, order: Order, verdict: str, now: float) -> None:
         """Takes what became of an order to load or unload."""
-        load = self._load_of(order)
+        load = self._find_load(order)
         if load is not None:
             self.cancel(load)
-        runner = self._context.runners.get(order.runner)
+        runner = self._state.runners.get(order.runner)
         if runner is None:
             return
         if order.action == LOAD:
@@ -204,10 +206,10 @@
         elif order.action == UNLOAD:
             self._finish_unload(runner, order.adapter, verdict, now)
 
-    def _load_of(self, order: Order) -> Load | None:
+    def _find_load(self, order: Order) -> Load | None:
         if order.action != LOAD:
             return None
-        for load in self._context.loads.values():
+        for load in self._state.loads.values():
             if (load.runner, load.adapter) == (order.runner, order.adapter):
                 return load
         return None
@@ -219,8 +221,8 @@
         if slot is None:
             return
         if verdict == "done":
-            took = now - slot.since
-            self.seconds += _SMOOTHING * (took - self.seconds)
+            load_seconds = now - slot.since
+            self.seconds += _SMOOTHING * (load_seconds - self.seconds)
             slot.enter(READY, now)
             self._failed.pop(adapter, None)
             return
@@ -228,20 +230,20 @@
             del runner.slots[adapter]
         else:
             slot.enter(SUSPECT, now)
-        self._note_failed_load(runner, adapter, now)
+        self._record_failed_load(runner, adapter, now)
 
-    def _note_failed_load(
+    def _record_failed_load(
         self, runner: RunnerState, adapter: str, now: float
     ) -> None:
         failed = self._failed.get(adapter, 0) + 1
         self._failed[adapter] = failed
-        pause = _FAILED_LOAD_PAUSE * 2 ** min(failed - 1, 5)
-        self._context.paused_until[(runner.name, adapter)] = now + pause
-        if failed < _FAILED_LOADS_MOST:
+        pause = _FAILED_LOAD_PAUSE_SECONDS * 2 ** min(failed - 1, 5)
+        self._state.paused_until[(runner.name, adapter)] = now + pause
+        if failed < _MAX_FAILED_LOADS:
             return
         del self._failed[adapter]
-        for waiter in list(self._context.waiting.group(adapter)):
-            self._context.refuse_waiter(waiter, LOAD_FAILED, pause)
+        for waiter in list(self._state.waiting.group(adapter)):
+            self._state.refuse_waiter(waiter, LOAD_FAILED, pause)
 
     def _finish_unload(
         self, runner: RunnerState, adapter: str, verdict: str, now: float
@@ -253,11 +255,11 @@
             runner.remove_adapter(adapter, now)
         else:
             slot.enter(SUSPECT, now)
-        for load in list(self._context.loads.values()):
+        for load in list(self._state.loads.values()):
             if (load.runner, load.victim) == (runner.name, adapter):
-                self._go_on_loading(load, runner, verdict)
+                self._continue_load(load, runner, verdict)
 
-    def _go_on_loading(
+    def _continue_load(
         self, load: Load, runner: RunnerState, verdict: str
     ) -> None:
         """Loads into the slot that an unload has freed, or has not."""
--- a/src/ridgesill/core/pool/owner.py
+++ b/src/ridgesill/core/pool/owner.py
@@ -69,7 +69,7 @@
         unloads_at: float = float("-inf"),
     ) -> None:
         limits = limits or PoolLimits()
-        self._context = PoolState(
+        self._state = PoolState(
             pool,
             service,
             epoch,
@@ -83,24 +83,24 @@
         self.service = service
         self.epoch = epoch
         self.limits = limits
-        self.runners = self._context.runners
-        self.waiting = self._context.waiting
-        self._placement = Placement(self._context)
-        self._loads = Loads(self._context, self._placement)
-        self._pins = Pins(self._context)
+        self.runners = self._state.runners
+        self.waiting = self._state.waiting
+        self._placement = Placement(self._state)
+        self._loads = Loads(self._state, self._placement)
+        self._pins = Pins(self._state)
         self._digests = DigestBuilder(pool, epoch)
         self._fencing: set[str] = set()
-        self._service_seconds = 1.0
+        self._mean_service_seconds = 1.0
 
     @property
     def starts_at(self) -> float:
         """From when this owner admits and orders, on the clock's seconds."""
-        return self._context.starts_at
+        return self._state.starts_at
 
     def take_output(self) -> list[Any]:
         """Returns what has accumulated since the last call."""
-        output = self._context.output
-        self._context.output = []
+        output = self._state.output
+        self._state.output = []
         return output
 
     def build_digest(
@@ -128,7 +128,7 @@
 
     def is_idle(self) -> bool:
         """Whether no order, request or waiter is left."""
-        return not (len(self._pins) or self._context.loads or len(self.waiting))
+        return not (len(self._pins) or self._state.loads or len(self.waiting))
 
     def cancel_unordered_loads(self) -> None:
         """Gives up loads not yet ordered, ahead of a handover."""
@@ -137,7 +137,7 @@
     def refuse_waiting(self) -> None:
         """Refuses those who wait, ahead of a handover."""
         for waiter in self.waiting.all():
-            self._context.refuse_waiter(waiter, NO_RUNNER, 1.0)
+            self._state.refuse_waiter(waiter, NO_RUNNER, 1.0)
 
     @singledispatchmethod
     def receive(self, message: Any, now: float) -> None:
@@ -148,34 +148,33 @@
 
     @receive.register
     def _(self, message: Admit, now: float) -> None:
-        self._context.popularity.record(message.adapter, now)
-        if not self._usable(message, now):
-            self._context.refuse_request(message, NO_RUNNER, 2.0)
+        self._state.popularity.record(message.adapter, now)
+        if not self._has_live_runner(message, now):
+            self._state.refuse_request(message, NO_RUNNER, 2.0)
             return
-        wait = self._expected_wait(message, now)
+        wait = self._estimate_wait(message, now)
         if wait > message.patience:
-            self._context.refuse_request(message, TOO_LATE, wait)
+            self._state.refuse_request(message, TOO_LATE, wait)
             return
         waiter = self.waiting.add(message, now)
         if len(self.waiting) > self.limits.queue:
-            self._shed(waiter, now)
+            self._shed_least_important(waiter, now)
         self.dispatch(now)
 
-    def _usable(self, message: Admit, now: float) -> bool:
+    def _has_live_runner(self, message: Admit, now: float) -> bool:
         return any(
-            not runner.announcement.leaving
-            and self._context.is_live(runner, now)
+            not runner.announcement.leaving and self._state.is_live(runner, now)
             for runner in self.runners.values()
         )
 
-    def _shed(self, newest: Waiter, now: float) -> None:
+    def _shed_least_important(self, newest: Waiter, now: float) -> None:
         least = self.waiting.find_least_important()
         if least is None:
             return
         reason = QUEUE_FULL if least is newest else SHED
-        self._context.refuse_waiter(least, reason, self._drain_seconds())
+        self._state.refuse_waiter(least, reason, self._estimate_drain_seconds())
 
-    def _expected_wait(self, message: Admit, now: float) -> float:
+    def _estimate_wait(self, message: Admit, now: float) -> float:
         """Estimates the seconds until a request begins."""
         wait = max(self.starts_at - now, 0.0)
         ready = [
@@ -185,12 +184,12 @@
         ]
         if any(runner.has_room(now) for runner in ready):
             return wait
-        wait += self._queue_seconds(message)
+        wait += self._estimate_queue_seconds(message)
         if not ready and message.adapter:
             wait += self._loads.seconds
         return wait
 
-    def _queue_seconds(self, message: Admit) -> float:
+    def _estimate_queue_seconds(self, message: Admit) -> float:
         capacity = sum(r.announcement.capacity for r in self.runners.values())
         spare = capacity - len(self._pins)
         if spare > 0:
@@ -200,12 +199,12 @@
             for waiter in self.waiting.all()
             if waiter.admit.priority <= message.priority
         )
-        return (ahead + 1) * self._service_seconds / max(capacity, 1)
+        return (ahead + 1) * self._mean_service_seconds / max(capacity, 1)
 
-    def _drain_seconds(self) -> float:
+    def _estimate_drain_seconds(self) -> float:
         capacity = sum(r.announcement.capacity for r in self.runners.values())
         waiting = len(self.waiting) + 1
-        return max(waiting * self._service_seconds / max(capacity, 1), 0.5)
+        return max(waiting * self._mean_service_seconds / max(capacity, 1), 0.5)
 
     # -- dispatch ------------------------------------------------------
 
@@ -231,7 +230,7 @@
 
     def _grant(self, waiter: Waiter, runner: RunnerState, now: float) -> None:
         admit = waiter.admit
-        self._placement.forget(runner.name)
+        self._placement.invalidate(runner.name)
         self.waiting.serve(waiter)
         pin = Pin(
             admit.request,
@@ -241,17 +240,17 @@
             admit.team,
         )
         self._pins.add(pin, admit.node, now)
-        waited = now - waiter.arrived
+        waited = now - waiter.arrived_at
         granted = Granted(
             admit.request,
             runner.name,
             runner.announcement.address,
             runner.announcement.incarnation,
             waited,
-            now - waiter.missing_since if waiter.stalled else 0.0,
+            now - waiter.missing_since if waiter.is_stalled else 0.0,
             runner.in_flight,
         )
-        self._context.output.append(Reply(admit.node, granted))
+        self._state.output.append(Reply(admit.node, granted))
 
     # -- orders --------------------------------------------------------
 
@@ -282,16 +281,16 @@
         runner = self.runners.get(order.runner)
         if runner is not None and verdict == "done":
             runner.fenced_epoch = self.epoch
-            self._note_fenced(now)
+            self._start_once_all_fenced(now)
 
-    def _note_fenced(self, now: float) -> None:
-        fenced = all(
+    def _start_once_all_fenced(self, now: float) -> None:
+        is_fenced = all(
             runner.fenced_epoch == self.epoch
             for runner in self.runners.values()
         )
-        if fenced:
+        if is_fenced:
             # The earlier owner's orders are refused from now on.
-            self._context.starts_at = min(self.starts_at, now)
+            self._state.starts_at = min(self.starts_at, now)
 
     # -- ends of requests ----------------------------------------------
 
@@ -299,19 +298,19 @@
     def _(self, message: Finished, now: float) -> None:
         pin = self._pins.get(message.request)
         if pin is None:
-            self._forget_waiter(message.request)
+            self._remove_waiter(message.request)
             return
-        took = self._pins.age(message.request, now)
+        service_seconds = self._pins.age(message.request, now)
         runner = self.runners.get(pin.runner)
         self._pins.end(message.request)
         if runner is not None:
-            self._note_verdict(runner, pin, message.verdict, now)
+            self._apply_verdict(runner, pin, message.verdict, now)
         if message.verdict not in (FAILED, ABSENT):
-            change = took - self._service_seconds
-            self._service_seconds += _SMOOTHING * change
+            change = service_seconds - self._mean_service_seconds
+            self._mean_service_seconds += _SMOOTHING * change
         self.dispatch(now)
 
-    def _note_verdict(
+    def _apply_verdict(
         self, runner: RunnerState, pin: Pin, verdict: str, now: float
     ) -> None:
         if verdict == FAILED:
@@ -323,7 +322,7 @@
         else:
             runner.record_success()
 
-    def _forget_waiter(self, request: str) -> None:
+    def _remove_waiter(self, request: str) -> None:
         waiter = self.waiting.find(request)
         if waiter is not None:
             self.waiting.remove(waiter)
@@ -346,16 +345,18 @@
     def _(self, message: Announcement, now: float) -> None:
         runner = self.runners.get(message.name)
         if runner is None:
-            self.runners[message.name] = self._meet(message, now)
+            self.runners[message.name] = self._make_runner_state(message, now)
         elif runner.announcement.incarnation != message.incarnation:
-            self._replace(runner, message, now)
+            self._replace_restarted(runner, message, now)
         elif message.sequence >= runner.announcement.sequence:
             runner.announcement = message
             runner.announced_at = now
             self._reconcile(runner, now)
         self.dispatch(now)
 
-    def _meet(self, message: Announcement, now: float) -> RunnerState:
+    def _make_runner_state(
+        self, message: Announcement, now: float
+    ) -> RunnerState:
         runner = RunnerState(message, now)
         for adapter in message.resident:
             slot = Slot(READY, now)
@@ -363,29 +364,31 @@
             runner.slots[adapter] = slot
         return runner
 
-    def _replace(
+    def _replace_restarted(
         self, runner: RunnerState, message: Announcement, now: float
     ) -> None:
         """Notes that a runner restarted: its slots and requests are gone."""
         self._pins.end_on_runner(runner.name)
         self._loads.cancel_on_runner(runner.name)
-        self.runners[runner.name] = self._meet(message, now)
+        self.runners[runner.name] = self._make_runner_state(message, now)
 
     def _reconcile(self, runner: RunnerState, now: float) -> None:
         """Brings what is believed in line with a report, which may lag."""
-        said = runner.announcement
+        report = runner.announcement
         for adapter, slot in list(runner.slots.items()):
             if not adapter or now - slot.since <= self.limits.report_lag:
                 continue
-            slot.reported = self._unexplained(slot, said.active.get(adapter, 0))
-            if adapter in said.resident:
+            slot.reported = self._count_unexplained(
+                slot, report.active.get(adapter, 0)
+            )
+            if adapter in report.resident:
                 if slot.state == SUSPECT:
                     slot.state = READY
             elif slot.state in (READY, SUSPECT) and not slot.is_pinned:
                 del runner.slots[adapter]
         runner.add_reported(now, self.limits.report_lag)
 
-    def _unexplained(self, slot: Slot, active: int) -> int:
+    def _count_unexplained(self, slot: Slot, active: int) -> int:
         return max(active - len(slot.pins), 0)
 
     # -- time ----------------------------------------------------------
@@ -394,27 +397,27 @@
         """Refuses who can no longer begin in time, and goes on."""
         for waiter in self.waiting.all():
             if now >= waiter.deadline:
-                self._context.refuse_waiter(
-                    waiter, TOO_LATE, self._drain_seconds()
+                self._state.refuse_waiter(
+                    waiter, TOO_LATE, self._estimate_drain_seconds()
                 )
         self._loads.tick(now)
-        self._forget_silent(now)
+        self._prune_silent_runners(now)
         self.dispatch(now)
 
-    def _forget_silent(self, now: float) -> None:
+    def _prune_silent_runners(self, now: float) -> None:
         for runner in list(self.runners.values()):
-            silent = now - runner.announced_at
-            gone = silent > 10 * self.limits.announce_patience
-            if gone and not runner.in_flight:
+            silent_seconds = now - runner.announced_at
+            is_gone = silent_seconds > 10 * self.limits.announce_patience
+            if is_gone and not runner.in_flight:
                 del self.runners[runner.name]
         if not self.runners:
             for waiter in self.waiting.all():
-                self._context.refuse_waiter(waiter, NO_RUNNER, 2.0)
+                self._state.refuse_waiter(waiter, NO_RUNNER, 2.0)
 
     def fence(self) -> None:
         """Tells every runner this owner's epoch, so that it need not wait."""
         for runner in self.runners.values():
-            fenced = runner.fenced_epoch == self.epoch
-            if not fenced and runner.name not in self._fencing:
+            is_fenced = runner.fenced_epoch == self.epoch
+            if not is_fenced and runner.name not in self._fencing:
                 self._fencing.add(runner.name)
                 self._loads.order(FENCE, runner, "")
--- a/src/ridgesill/core/pool/permits.py
+++ b/src/ridgesill/core/pool/permits.py
@@ -25,34 +25,34 @@
     concurrency: int
     refilled_at: float
     _tokens: float = 0.0
-    _held: dict[str, float] = attrs.Factory(dict)
-    _asks: list[tuple[int, int, AskPermit]] = attrs.Factory(list)
-    _order: itertools.count = attrs.Factory(itertools.count)
+    _granted_at: dict[str, float] = attrs.Factory(dict)
+    _queue: list[tuple[int, int, AskPermit]] = attrs.Factory(list)
+    _sequence: itertools.count = attrs.Factory(itertools.count)
 
     def enqueue(self, ask: AskPermit) -> None:
         """Queues a request for a permit; the most urgent goes first."""
-        heapq.heappush(self._asks, (-ask.urgency, next(self._order), ask))
+        heapq.heappush(self._queue, (-ask.urgency, next(self._sequence), ask))
 
     def release(self, permit: str) -> None:
         """Takes a permit back, held or still asked for."""
-        if self._held.pop(permit, None) is None:
-            self._asks = [a for a in self._asks if a[2].permit != permit]
-            heapq.heapify(self._asks)
+        if self._granted_at.pop(permit, None) is None:
+            self._queue = [a for a in self._queue if a[2].permit != permit]
+            heapq.heapify(self._queue)
 
     def grant(self, now: float) -> list[GrantPermit]:
         """Returns the permits that are free at a time."""
         self._refill(now)
         self._expire(now)
         grants = []
-        while self._asks and self._may_grant():
-            ask = heapq.heappop(self._asks)[2]
+        while self._queue and self._can_grant():
+            ask = heapq.heappop(self._queue)[2]
             self._tokens -= 1.0
-            self._held[ask.permit] = now
+            self._granted_at[ask.permit] = now
             grants.append(GrantPermit(ask.permit, ask.pool))
         return grants
 
-    def _may_grant(self) -> bool:
-        return self._tokens >= 1.0 and len(self._held) < self.concurrency
+    def _can_grant(self) -> bool:
+        return self._tokens >= 1.0 and len(self._granted_at) < self.concurrency
 
     def _refill(self, now: float) -> None:
         gained = (now - self.refilled_at) * self.rate
@@ -64,8 +64,8 @@
         # An owner that was lost never gives its permits back.
         expired = [
             permit
-            for permit, at in self._held.items()
-            if now - at > PERMIT_LIFETIME_SECONDS
+            for permit, granted_time in self._granted_at.items()
+            if now - granted_time > PERMIT_LIFETIME_SECONDS
         ]
         for permit in expired:
-            del self._held[permit]
+            del self._granted_at[permit]
--- a/src/ridgesill/core/pool/pins.py
+++ b/src/ridgesill/core/pool/pins.py
@@ -7,8 +7,8 @@
 class Pins:
     """The requests that were granted a runner of a pool."""
 
-    def __init__(self, context: PoolState) -> None:
-        self._context = context
+    def __init__(self, state: PoolState) -> None:
+        self._state = state
         self._pins: dict[str, Pin] = {}
         self._pinned_at: dict[str, float] = {}
         self._by_node: dict[str, set[str]] = {}
@@ -34,7 +34,7 @@
         self._pins[pin.request] = pin
         self._pinned_at[pin.request] = now
         self._by_node.setdefault(node, set()).add(pin.request)
-        self._context.runners[pin.runner].pin(pin)
+        self._state.runners[pin.runner].pin(pin)
 
     def end(self, request: str) -> None:
         """Ends a pin."""
@@ -42,7 +42,7 @@
         del self._pinned_at[request]
         for held in self._by_node.values():
             held.discard(request)
-        runner = self._context.runners.get(pin.runner)
+        runner = self._state.runners.get(pin.runner)
         if runner is not None:
             runner.unpin(pin)
 
@@ -56,11 +56,11 @@
         """Learns what a node holds, and ends what it no longer lists."""
         listed = {pin.request for pin in message.pins}
         for pin in message.pins:
-            self._learn(pin, message.node, now)
+            self._add_reported(pin, message.node, now)
         held = self._by_node.get(message.node, set())
         for request in list(held - listed):
             # A grant may still be on its way to the node that lists its own.
-            if self.age(request, now) > self._context.limits.report_lag:
+            if self.age(request, now) > self._state.limits.report_lag:
                 self.end(request)
 
     def handle_lost_node(self, node: str) -> None:
@@ -72,7 +72,7 @@
         for request in self._by_node.pop(node, set()):
             pin = self._pins.pop(request)
             del self._pinned_at[request]
-            runner = self._context.runners.get(pin.runner)
+            runner = self._state.runners.get(pin.runner)
             if runner is None:
                 continue
             runner.unpin(pin)
@@ -80,8 +80,8 @@
             if slot is not None:
                 slot.reported += 1
 
-    def _learn(self, pin: Pin, node: str, now: float) -> None:
-        runner = self._context.runners.get(pin.runner)
+    def _add_reported(self, pin: Pin, node: str, now: float) -> None:
+        runner = self._state.runners.get(pin.runner)
         if pin.request in self._pins or runner is None:
             return
         if runner.announcement.incarnation == pin.incarnation:
--- a/src/ridgesill/core/pool/placement.py
+++ b/src/ridgesill/core/pool/placement.py
@@ -6,7 +6,7 @@
 from ridgesill.core.pool.waiting import Waiter
 
 _SAME_ADAPTER_BONUS = 0.25
-_WORTH_STEP = 0.5
+_COST_STEP = 0.5
 
 
 class Placement:
@@ -16,35 +16,35 @@
     runner is kept for the rest of it, unless `forget` says that it changed.
     """
 
-    def __init__(self, context: PoolState) -> None:
-        self._context = context
-        self._worths: dict[str, float | None] = {}
+    def __init__(self, state: PoolState) -> None:
+        self._state = state
+        self._eviction_costs: dict[str, float | None] = {}
 
     def begin_pass(self) -> None:
         """Forgets what was worked out before."""
-        self._worths.clear()
+        self._eviction_costs.clear()
 
-    def forget(self, runner: str) -> None:
+    def invalidate(self, runner: str) -> None:
         """Notes that a runner has changed within a pass."""
-        self._worths.pop(runner, None)
+        self._eviction_costs.pop(runner, None)
 
     def choose_ready(self, admit: Admit, now: float) -> RunnerState | None:
         """Returns the best runner that can begin a request now."""
         candidates = [
             runner
-            for runner in self._context.runners.values()
+            for runner in self._state.runners.values()
             if runner.is_ready(admit.adapter)
             and runner.has_room(now)
-            and self._context.is_live(runner, now)
+            and self._state.is_live(runner, now)
         ]
         preferred = [r for r in candidates if r.name not in admit.avoid]
         return min(
             preferred or candidates,
-            key=lambda runner: self._load_score(runner, admit.adapter),
+            key=lambda runner: self._score_runner(runner, admit.adapter),
             default=None,
         )
 
-    def _load_score(
+    def _score_runner(
         self, runner: RunnerState, adapter: str
     ) -> tuple[float, str]:
         """Ranks runners that hold an adapter; the lowest is the best.
@@ -54,22 +54,22 @@
         """
         slot = runner.slots.get(adapter)
         bonus = _SAME_ADAPTER_BONUS if slot and slot.pins else 0.0
-        return (self._signed_share(runner) - bonus, runner.name)
+        return (self._fill_score(runner) - bonus, runner.name)
 
-    def _signed_share(self, runner: RunnerState) -> float:
+    def _fill_score(self, runner: RunnerState) -> float:
         """Ranks runners by how full they are.
 
         For stalls and first tokens the emptiest is the best; for batches the
         fullest, whose next step costs the least for one more sequence.
         """
         share = runner.in_flight / max(runner.announcement.capacity, 1)
-        return share * (1.0 - 2.0 * self._context.batch_weight)
+        return share * (1.0 - 2.0 * self._state.batch_weight)
 
     def needs_copy(
         self, group: list[Waiter], holders: list[RunnerState], now: float
     ) -> bool:
         """Whether those who wait are worth another copy of a hot adapter."""
-        others = [r for r in self._context.runners.values() if r not in holders]
+        others = [r for r in self._state.runners.values() if r not in holders]
         spare = sum(
             r.announcement.capacity - r.in_flight
             for r in others
@@ -78,9 +78,7 @@
         if spare <= 0:
             return False
         capacity = max(r.announcement.capacity for r in holders)
-        return len(group) >= max(
-            self._context.limits.copy_margin * capacity, 1.0
-        )
+        return len(group) >= max(self._state.limits.copy_margin * capacity, 1.0)
 
     def choose_target(
         self, adapter: str, holders: list[RunnerState], now: float
@@ -88,48 +86,52 @@
         """Returns the runner whose worst adapter is worth the least."""
         best: tuple[float, float, str] | None = None
         chosen = None
-        for runner in self._context.runners.values():
+        for runner in self._state.runners.values():
             if runner in holders or not self._may_load(runner, adapter, now):
                 continue
-            worth = self._worst_worth(runner, now)
-            if worth is None:
+            cost = self._eviction_cost(runner, now)
+            if cost is None:
                 continue
             score = (
-                self._coarse(worth),
-                self._signed_share(runner),
+                self._coarsen(cost),
+                self._fill_score(runner),
                 runner.name,
             )
             if best is None or score < best:
                 best, chosen = score, runner
         return chosen
 
-    def _coarse(self, worth: float) -> float:
+    def _coarsen(self, cost: float) -> float:
         """Returns a worth, the coarser the more that batches count."""
-        step = _WORTH_STEP * self._context.batch_weight
-        return worth // step if step else worth
+        step = _COST_STEP * self._state.batch_weight
+        return cost // step if step else cost
 
     def _may_load(self, runner: RunnerState, adapter: str, now: float) -> bool:
-        paused = self._context.paused_until.get((runner.name, adapter), now)
+        paused = self._state.paused_until.get((runner.name, adapter), now)
         return (
             runner.has_room(now)
-            and self._context.is_live(runner, now)
+            and self._state.is_live(runner, now)
             and paused <= now
         )
 
-    def _worst_worth(self, runner: RunnerState, now: float) -> float | None:
+    def _eviction_cost(self, runner: RunnerState, now: float) -> float | None:
         """Returns the worth of what a load would displace; None if nothing.
 
         It is kept for the rest of a pass over the queue, unless the runner
         changes in it.
         """
-        if runner.name not in self._worths:
-            self._worths[runner.name] = self._find_worth(runner, now)
-        return self._worths[runner.name]
+        if runner.name not in self._eviction_costs:
+            self._eviction_costs[runner.name] = self._compute_eviction_cost(
+                runner, now
+            )
+        return self._eviction_costs[runner.name]
 
-    def _find_worth(self, runner: RunnerState, now: float) -> float | None:
+    def _compute_eviction_cost(
+        self, runner: RunnerState, now: float
+    ) -> float | None:
         reserved = sum(
             1
-            for load in self._context.loads.values()
+            for load in self._state.loads.values()
             if load.runner == runner.name and load.adapter not in runner.slots
         )
         if runner.free_slots() - reserved > 0:
@@ -137,11 +139,11 @@
         victim = self.choose_victim(runner, now)
         if victim is None or reserved:
             return None
-        return self._worth(victim, now)
+        return self._adapter_value(victim, now)
 
     def choose_victim(self, runner: RunnerState, now: float) -> str | None:
         """Returns the adapter to unload first; None if none may be."""
-        if now < self._context.unloads_at:
+        if now < self._state.unloads_at:
             return None
         candidates = [
             adapter
@@ -149,14 +151,16 @@
             if adapter
             and slot.state == READY
             and not slot.is_pinned
-            and not self._context.waiting.group(adapter)
+            and not self._state.waiting.group(adapter)
         ]
         return min(
-            candidates, key=lambda a: (self._worth(a, now), a), default=None
+            candidates,
+            key=lambda a: (self._adapter_value(a, now), a),
+            default=None,
         )
 
-    def _worth(self, adapter: str, now: float) -> float:
+    def _adapter_value(self, adapter: str, now: float) -> float:
         copies = sum(
-            1 for r in self._context.runners.values() if adapter in r.slots
+            1 for r in self._state.runners.values() if adapter in r.slots
         )
-        return self._context.popularity.value(adapter, now) / max(copies, 1)
+        return self._state.popularity.value(adapter, now) / max(copies, 1)
--- a/src/ridgesill/core/pool/popularity.py
+++ b/src/ridgesill/core/pool/popularity.py
@@ -3,8 +3,8 @@
 import heapq
 import math
 
-_FORGET_BELOW = 0.01
-_SWEEP_EVERY = 4096
+_MIN_COUNT = 0.01
+_PRUNE_EVERY_RECORDS = 4096
 
 
 class Popularity:
@@ -21,34 +21,32 @@
     def __init__(self, half_life: float) -> None:
         self._rate = math.log(2) / half_life
         self._counts: dict[str, tuple[float, float]] = {}
-        self._notes = 0
+        self._records = 0
 
     def record(self, adapter: str, now: float) -> None:
         """Counts a request."""
         self._counts[adapter] = (self.value(adapter, now) + 1.0, now)
-        self._notes += 1
-        if self._notes % _SWEEP_EVERY == 0:
-            self._sweep(now)
+        self._records += 1
+        if self._records % _PRUNE_EVERY_RECORDS == 0:
+            self._prune(now)
 
     def value(self, adapter: str, now: float) -> float:
         """Returns the decayed count of an adapter's requests."""
-        count, at = self._counts.get(adapter, (0.0, now))
-        return count * math.exp((at - now) * self._rate)
+        count, counted_at = self._counts.get(adapter, (0.0, now))
+        return count * math.exp((counted_at - now) * self._rate)
 
-    def top(self, most: int, now: float) -> list[tuple[str, float]]:
+    def top(self, limit: int, now: float) -> list[tuple[str, float]]:
         """Returns the most wanted adapters with their counts, falling."""
         valued = ((name, self.value(name, now)) for name in self._counts)
-        return heapq.nlargest(most, valued, key=lambda item: item[1])
+        return heapq.nlargest(limit, valued, key=lambda item: item[1])
 
     def total(self, now: float) -> float:
         """Returns the decayed count of all requests."""
         return sum(self.value(name, now) for name in self._counts)
 
-    def _sweep(self, now: float) -> None:
-        faded = [
-            name
-            for name in self._counts
-            if self.value(name, now) < _FORGET_BELOW
+    def _prune(self, now: float) -> None:
+        expired = [
+            name for name in self._counts if self.value(name, now) < _MIN_COUNT
         ]
-        for name in faded:
+        for name in expired:
             del self._counts[name]
--- a/src/ridgesill/core/pool/slots.py
+++ b/src/ridgesill/core/pool/slots.py
@@ -10,9 +10,9 @@
 UNLOADING = "unloading"
 SUSPECT = "suspect"
 
-_EJECT_AFTER = 3
-_EJECT_FIRST = 2.0
-_EJECT_MOST = 60.0
+_EJECT_AFTER_FAILURES = 3
+_FIRST_EJECTION_SECONDS = 2.0
+_MAX_EJECTION_SECONDS = 60.0
 
 
 @attrs.define
@@ -71,7 +71,9 @@
         if self.announcement.leaving or now < self.ejected_until:
             return False
         limit = (
-            1 if self.failures >= _EJECT_AFTER else self.announcement.capacity
+            1
+            if self.failures >= _EJECT_AFTER_FAILURES
+            else self.announcement.capacity
         )
         return self.in_flight < limit
 
@@ -105,7 +107,9 @@
     def add_reported(self, now: float, lag: float) -> None:
         """Takes the adapters that a report lists, but not those that left."""
         self.removed_at = {
-            name: at for name, at in self.removed_at.items() if now - at <= lag
+            name: removed_time
+            for name, removed_time in self.removed_at.items()
+            if now - removed_time <= lag
         }
         for adapter in self.announcement.resident:
             if adapter not in self.slots and adapter not in self.removed_at:
@@ -119,9 +123,11 @@
     def record_failure(self, now: float) -> None:
         """Counts a failed request; too many in a row eject the runner."""
         self.failures += 1
-        if self.failures >= _EJECT_AFTER:
-            doublings = min(self.failures - _EJECT_AFTER, 5)
-            pause = min(_EJECT_FIRST * 2**doublings, _EJECT_MOST)
+        if self.failures >= _EJECT_AFTER_FAILURES:
+            doublings = min(self.failures - _EJECT_AFTER_FAILURES, 5)
+            pause = min(
+                _FIRST_EJECTION_SECONDS * 2**doublings, _MAX_EJECTION_SECONDS
+            )
             self.ejected_until = now + pause
 
     def record_success(self) -> None:
--- a/src/ridgesill/core/pool/waiting.py
+++ b/src/ridgesill/core/pool/waiting.py
@@ -15,20 +15,20 @@
     """
 
     admit: Admit
-    arrived: float
-    start: float
-    stalled: bool = False
+    arrived_at: float
+    virtual_start: float
+    is_stalled: bool = False
     missing_since: float = 0.0
 
     @property
     def deadline(self) -> float:
         """The time by which it must have begun."""
-        return self.arrived + self.admit.patience
+        return self.arrived_at + self.admit.patience
 
     @property
     def order(self) -> tuple[int, float, float]:
         """Sorts waiters: the more important, then the fairer, first."""
-        return (self.admit.priority, self.start, self.arrived)
+        return (self.admit.priority, self.virtual_start, self.arrived_at)
 
 
 class WaitingQueue:
@@ -40,8 +40,8 @@
 
     def __init__(self) -> None:
         self._groups: dict[str, list[Waiter]] = {}
-        self._finish: dict[str, float] = {}
-        self._virtual = 0.0
+        self._finish_times: dict[str, float] = {}
+        self._virtual_time = 0.0
         self._count = 0
 
     def __len__(self) -> int:
@@ -49,12 +49,12 @@
 
     def add(self, admit: Admit, now: float) -> Waiter:
         """Adds a request."""
-        start = max(self._virtual, self._finish.get(admit.team, 0.0))
-        self._finish[admit.team] = start + 1.0 / max(admit.weight, 0.01)
+        start = max(self._virtual_time, self._finish_times.get(admit.team, 0.0))
+        self._finish_times[admit.team] = start + 1.0 / max(admit.weight, 0.01)
         waiter = Waiter(admit, now, start)
         group = self._groups.setdefault(admit.adapter, [])
         group.append(waiter)
-        group.sort(key=_order_of)
+        group.sort(key=_sort_key)
         self._count += 1
         return waiter
 
@@ -66,12 +66,12 @@
         if not group:
             del self._groups[waiter.admit.adapter]
         if not self._count:
-            self._finish.clear()
-            self._virtual = 0.0
+            self._finish_times.clear()
+            self._virtual_time = 0.0
 
     def serve(self, waiter: Waiter) -> None:
         """Takes a request out to be served, which moves virtual time."""
-        self._virtual = max(self._virtual, waiter.start)
+        self._virtual_time = max(self._virtual_time, waiter.virtual_start)
         self.remove(waiter)
 
     def groups(self) -> list[list[Waiter]]:
@@ -95,8 +95,8 @@
 
     def find_least_important(self) -> Waiter | None:
         """Returns the waiter to shed first: the last to be served."""
-        return max(self.all(), key=_order_of, default=None)
+        return max(self.all(), key=_sort_key, default=None)
 
 
-def _order_of(waiter: Waiter) -> tuple[int, float, float]:
+def _sort_key(waiter: Waiter) -> tuple[int, float, float]:
     return waiter.order
--- a/src/ridgesill/core/serving/__init__.py
+++ b/src/ridgesill/core/serving/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions of a front: routes, choice of an upstream, retries, outcomes."""
+"""Request decisions of a front: routing, limits, upstream choice, retries."""
--- a/src/ridgesill/core/serving/choice.py
+++ b/src/ridgesill/core/serving/choice.py
@@ -1,4 +1,4 @@
-"""A front's choice of the upstream that gets a request."""
+"""Load balancing: chooses the upstream for a request."""
 
 import math
 import random
@@ -12,48 +12,51 @@
 from ridgesill.core.serving.outcomes import Outcomes
 from ridgesill.core.serving.unavailable import Unavailable
 
-# Places that count at the most: an engine of 64 reads one prompt at a time, and
-# some ten requests in progress already wait for each other there.
-_SLOTS_MOST = 16
-# What a request across data centres costs beside the load of an upstream: as
-# a share of its places. Bytes between data centres are priced at some four
-# hundredths of a request's worth, while an upstream that is half full answers
-# hardly later than an idle one.
-_ELSEWHERE = 0.35
-# Above this share of its places in use, each more costs so much in addition: a
-# queue is then likely.
-_CROWDED_FROM = 0.6
-_CROWDED = 2.0
-# Requests to a plain service last some 50 ms, and what is known of others' is
-# 0.1 to 0.3 s old. So their mean over this time counts, in seconds, and for
-# this much of it: by their number many fronts fill one upstream after another.
+# Slots of an upstream that count at most. An engine with 64 slots reads one
+# prompt at a time, so about ten requests in progress already delay each other.
+_MAX_COUNTED_SLOTS = 16
+# Cost of sending a request to another data centre, as a share of an upstream's
+# slots. The traffic costs about 0.04 of a request's value, while an upstream
+# that is half full answers hardly later than an idle one.
+_OTHER_DATA_CENTRE_COST = 0.35
+# Share of slots in use above which requests are likely to queue, and how many
+# times the excess is added to the cost.
+_CROWDED_FROM_SHARE = 0.6
+_CROWDED_COST = 2.0
+# Requests to a plain service last about 50 ms, while the counts of other fronts
+# are 0.1 to 0.3 s old. So the mean of those counts over this time is used, with
+# this weight. With the latest counts, many fronts would fill one upstream after
+# another.
 _MEAN_SECONDS = 0.5
-_SHORT_LIVED = 0.3
-# Share of their places that plain upstreams of the own data centre have in use,
-# in the mean, up to which they get all of its requests, and from which they are
-# chosen like any other. In between a part goes elsewhere: many fronts with the
-# same view that changed over at once would fill one upstream after the other.
-_NEAR_FREE = 0.2
-_NEAR_FULL = 0.6
-# What a failure rate of 1 costs, in the same measure, and the rate up to which
-# it costs nothing: one failure among many successes, which healthy upstreams
-# have too.
-_FAILING = 3.0
-_FAILING_FROM = 0.25
-# Differences below this many requests for each front are left to chance, up to
-# so many fronts: what others have sent since the last news isn't known, and
-# many fronts with the same view would all pick the same upstream.
-_JITTER_A_FRONT = 0.5
-_JITTER_FRONTS = 8
+_MEAN_WEIGHT = 0.3
+# Mean shares of slots in use at the local plain upstreams: below the first they
+# get all requests, from the second on upstreams of all data centres are treated
+# alike. In between, a growing part of the requests considers all of them: if
+# many fronts with the same view switched at once, they would fill one upstream
+# after another.
+_LOCAL_ONLY_BELOW_SHARE = 0.2
+_LOCAL_FULL_SHARE = 0.6
+# Cost of a failure rate of 1, as a share of slots, and the rate up to which
+# failures cost nothing: healthy upstreams also have single failures among many
+# successes.
+_FAILURE_COST = 3.0
+_FAILURE_COST_FROM_RATE = 0.25
+# Random jitter on the load of an upstream, in requests per front, and the
+# number of fronts up to which it grows. What other fronts have sent since the
+# last update isn't known, and without jitter all fronts with the same view
+# would choose the same upstream.
+_JITTER_PER_FRONT = 0.5
+_MAX_JITTER_FRONTS = 8
 
 
 @attrs.frozen
 class Requirements:
-    """What a request needs.
+    """What a request requires of an upstream.
 
     Attributes:
-        artifact: what the upstream must hold; empty for a plain service.
-        version: of it, at the least; 0 for any.
+        service: the service that the upstream must belong to.
+        artifact: the artifact that it must hold; empty for a plain service.
+        version: the lowest acceptable version of the artifact; 0 for any.
     """
 
     service: str
@@ -65,10 +68,10 @@
     """Chooses among the upstreams that this front knows.
 
     Args:
-        data_centre: the front's own.
-        view: what is known of the upstreams.
-        outcomes: what requests say of them.
-        rng: the source of chance.
+        data_centre: the data centre of the front.
+        view: the upstreams, and the requests in progress that others report.
+        outcomes: the health of upstreams, from the requests sent to them.
+        rng: source of random numbers; a new one if omitted.
     """
 
     def __init__(
@@ -83,63 +86,74 @@
         self.unavailable = Unavailable()
         self.data_centre = data_centre
         self._rng = rng or random.Random()
-        self._own: dict[str, dict[str, int]] = {}
-        self._told: dict[str, int] = {}
+        self._in_progress: dict[str, dict[str, int]] = {}
+        self._reported: dict[str, int] = {}
         self._means: dict[str, float] = {}
-        self._means_at = float("-inf")
+        self._means_updated_at = float("-inf")
 
     # -- requests in progress ------------------------------------------
 
     def record_start(self, upstream: str, artifact: str) -> None:
-        """Counts a request that goes to an upstream."""
-        using = self._own.setdefault(upstream, {})
-        using[artifact] = using.get(artifact, 0) + 1
+        """Counts a request as in progress at an upstream."""
+        by_artifact = self._in_progress.setdefault(upstream, {})
+        by_artifact[artifact] = by_artifact.get(artifact, 0) + 1
 
     def record_end(self, upstream: str, artifact: str) -> None:
-        """Counts a request that has ended there."""
-        using = self._own.get(upstream, {})
-        left = using.get(artifact, 0) - 1
+        """Counts a request at an upstream as ended."""
+        by_artifact = self._in_progress.get(upstream, {})
+        left = by_artifact.get(artifact, 0) - 1
         if left > 0:
-            using[artifact] = left
+            by_artifact[artifact] = left
             return
-        using.pop(artifact, None)
-        if not using:
-            self._own.pop(upstream, None)
+        by_artifact.pop(artifact, None)
+        if not by_artifact:
+            self._in_progress.pop(upstream, None)
 
     def report_busy(self) -> dict[str, dict[str, int]]:
-        """Returns this front's requests in progress, to be told the owner."""
-        self._told = {name: sum(u.values()) for name, u in self._own.items()}
-        return {name: dict(using) for name, using in self._own.items()}
+        """Returns the requests in progress from here, to report to the owner.
+
+        Returns:
+            The number of requests by upstream and artifact.
+        """
+        self._reported = {
+            name: sum(u.values()) for name, u in self._in_progress.items()
+        }
+        return {
+            name: dict(by_artifact)
+            for name, by_artifact in self._in_progress.items()
+        }
 
     def count_busy(self, upstream: str) -> int:
-        """Returns the requests in progress at an upstream, as far as known."""
-        return self._busy_of_others(upstream) + self._busy_here(upstream)
+        """Returns the known requests in progress at an upstream."""
+        return self._count_busy_of_others(upstream) + self._count_busy_of_own(
+            upstream
+        )
 
-    def _busy_of_others(self, upstream: str) -> int:
-        told = self._told.get(upstream, 0)
-        return max(self.view.busy.get(upstream, 0) - told, 0)
+    def _count_busy_of_others(self, upstream: str) -> int:
+        reported = self._reported.get(upstream, 0)
+        return max(self.view.busy.get(upstream, 0) - reported, 0)
 
     def update_means(self, now: float) -> None:
-        """Takes counts that others have told into their means."""
-        share = 1.0 - math.exp((self._means_at - now) / _MEAN_SECONDS)
-        self._means_at = now
+        """Updates the mean load from other fronts with the latest counts."""
+        share = 1.0 - math.exp((self._means_updated_at - now) / _MEAN_SECONDS)
+        self._means_updated_at = now
         means = self._means
         self._means = {
             name: means.get(name, 0.0)
-            + share * (self._busy_of_others(name) - means.get(name, 0.0))
+            + share * (self._count_busy_of_others(name) - means.get(name, 0.0))
             for name in self.view.busy.keys() | means.keys()
             if name in self.view.upstreams
         }
 
-    def _mean_of_others(self, upstream: str) -> float:
+    def _mean_busy_of_others(self, upstream: str) -> float:
         mean = self._means.get(upstream)
-        return self._busy_of_others(upstream) if mean is None else mean
+        return self._count_busy_of_others(upstream) if mean is None else mean
 
-    def _busy_here(self, upstream: str) -> int:
-        return sum(self._own.get(upstream, {}).values())
+    def _count_busy_of_own(self, upstream: str) -> int:
+        return sum(self._in_progress.get(upstream, {}).values())
 
     def load(self, service: str) -> float:
-        """Returns requests in progress for each place of a service."""
+        """Returns the requests in progress per slot of a service."""
         upstreams = self.view.of_service(service)
         slots = sum(upstream.slots for upstream in upstreams)
         busy = sum(self.count_busy(upstream.name) for upstream in upstreams)
@@ -147,95 +161,109 @@
 
     # -- choice --------------------------------------------------------
 
-    def candidates(self, wanted: Requirements) -> list[Upstream]:
-        """Returns the upstreams that could serve a request now."""
-        if wanted.artifact:
+    def candidates(self, requirements: Requirements) -> list[Upstream]:
+        """Returns the upstreams that meet the requirements of a request."""
+        if requirements.artifact:
             return self.view.holders(
-                wanted.service, wanted.artifact, wanted.version
+                requirements.service,
+                requirements.artifact,
+                requirements.version,
             )
-        return self.view.of_service(wanted.service)
+        return self.view.of_service(requirements.service)
 
     def choose(
         self,
-        wanted: Requirements,
+        requirements: Requirements,
         avoid: Collection[str],
         now: float,
         draws: LimitDraws | None = None,
     ) -> Upstream | None:
-        """Returns the best upstream, or None if there is none.
+        """Returns the upstream with the lowest cost, or None if there is none.
 
         Args:
-            wanted: what the request needs.
-            avoid: upstreams that it must not go to; those that it has tried.
-            now: the clock, in seconds.
-            draws: which limited upstreams it may go to.
+            requirements: what the request requires.
+            avoid: upstreams to exclude, such as those already tried.
+            now: the current time, in seconds.
+            draws: decides which rate-limited upstreams it may go to.
         """
         candidates = [
             upstream
-            for upstream in self.candidates(wanted)
+            for upstream in self.candidates(requirements)
             if upstream.name not in avoid
             and self.unavailable.accepts_requests(upstream.name, now)
         ]
-        allowed = self._without_ejected(wanted, candidates, now)
+        allowed = self._exclude_ejected(requirements, candidates, now)
         if draws is not None:
             allowed = draws.filter_allowed(
                 allowed, now, prefers_limited=not avoid
             )
-        if not wanted.artifact:
-            allowed = self._near_with_room(allowed)
+        if not requirements.artifact:
+            allowed = self._prefer_local(allowed)
         return min(
             allowed,
-            key=lambda upstream: self._cost(wanted, upstream, now),
+            key=lambda upstream: self._cost(requirements, upstream, now),
             default=None,
         )
 
-    def _near_with_room(self, candidates: list[Upstream]) -> list[Upstream]:
-        """Leaves out other data centres while this one has room."""
-        near = [u for u in candidates if u.data_centre == self.data_centre]
-        slots = sum(min(upstream.slots, _SLOTS_MOST) for upstream in near)
+    def _prefer_local(self, candidates: list[Upstream]) -> list[Upstream]:
+        """Excludes other data centres while the local one has free slots."""
+        local = [u for u in candidates if u.data_centre == self.data_centre]
+        slots = sum(
+            min(upstream.slots, _MAX_COUNTED_SLOTS) for upstream in local
+        )
         if not slots:
             return candidates
         busy = sum(
-            self._mean_of_others(u.name) + self._busy_here(u.name) for u in near
+            self._mean_busy_of_others(u.name) + self._count_busy_of_own(u.name)
+            for u in local
+        )
+        local_share = (_LOCAL_FULL_SHARE - busy / slots) / (
+            _LOCAL_FULL_SHARE - _LOCAL_ONLY_BELOW_SHARE
         )
-        room = (_NEAR_FULL - busy / slots) / (_NEAR_FULL - _NEAR_FREE)
-        return near if self._rng.random() < room else candidates
+        return local if self._rng.random() < local_share else candidates
 
-    def _without_ejected(
-        self, wanted: Requirements, candidates: list[Upstream], now: float
+    def _exclude_ejected(
+        self, requirements: Requirements, candidates: list[Upstream], now: float
     ) -> list[Upstream]:
-        """Leaves out ejected upstreams, but never over half of a service."""
-        everyone = self.view.of_service(wanted.service)
-        ejected = [u for u in everyone if self.outcomes.is_ejected(u.name, now)]
+        """Excludes ejected upstreams, but at most half of a service."""
+        service_upstreams = self.view.of_service(requirements.service)
+        ejected = [
+            u
+            for u in service_upstreams
+            if self.outcomes.is_ejected(u.name, now)
+        ]
         if not ejected:
             return candidates
         ejected.sort(
             key=lambda u: self.outcomes.failure_rate(u.name, now), reverse=True
         )
-        out = {u.name for u in ejected[: len(everyone) // 2]}
-        return [u for u in candidates if u.name not in out]
+        excluded = {u.name for u in ejected[: len(service_upstreams) // 2]}
+        return [u for u in candidates if u.name not in excluded]
 
     def _cost(
-        self, wanted: Requirements, upstream: Upstream, now: float
+        self, requirements: Requirements, upstream: Upstream, now: float
     ) -> float:
-        """Ranks upstreams; the lowest is the best."""
-        if wanted.artifact:
-            others = float(self._busy_of_others(upstream.name))
+        """Returns the cost of an upstream for a request; the lowest is best."""
+        if requirements.artifact:
+            others = float(self._count_busy_of_others(upstream.name))
         else:
-            others = _SHORT_LIVED * self._mean_of_others(upstream.name)
-        fronts = min(self.view.fronts, _JITTER_FRONTS)
-        unknown = self._rng.random() * _JITTER_A_FRONT * fronts
-        busy = others + self._busy_here(upstream.name) + unknown
-        share = busy / min(max(upstream.slots, 1), _SLOTS_MOST)
-        cost = share + _CROWDED * max(share - _CROWDED_FROM, 0.0)
-        if wanted.artifact and upstream.data_centre != self.data_centre:
-            cost += _ELSEWHERE
-        failing = self.outcomes.failure_rate(upstream.name, now) - _FAILING_FROM
-        cost += _FAILING * max(failing, 0.0)
+            others = _MEAN_WEIGHT * self._mean_busy_of_others(upstream.name)
+        fronts = min(self.view.fronts, _MAX_JITTER_FRONTS)
+        unknown = self._rng.random() * _JITTER_PER_FRONT * fronts
+        busy = others + self._count_busy_of_own(upstream.name) + unknown
+        share = busy / min(max(upstream.slots, 1), _MAX_COUNTED_SLOTS)
+        cost = share + _CROWDED_COST * max(share - _CROWDED_FROM_SHARE, 0.0)
+        if requirements.artifact and upstream.data_centre != self.data_centre:
+            cost += _OTHER_DATA_CENTRE_COST
+        failure_rate_excess = (
+            self.outcomes.failure_rate(upstream.name, now)
+            - _FAILURE_COST_FROM_RATE
+        )
+        cost += _FAILURE_COST * max(failure_rate_excess, 0.0)
         return cost
 
     def list_unusable(self, service: str, now: float) -> list[str]:
-        """Returns the upstreams of a service that get no new requests now."""
+        """Returns the upstreams of a service that get no new requests."""
         return [
             upstream.name
             for upstream in self.view.of_service(service)
@@ -244,14 +272,15 @@
         ]
 
     def accepts_requests(self, upstream: str, now: float) -> bool:
-        """Whether an upstream wants requests from here, by its own word."""
+        """Whether an upstream accepts requests from here, by its answers."""
         return self.unavailable.accepts_requests(upstream, now)
 
     def seconds_until_available(self, service: str, now: float) -> float:
-        """Returns the seconds until the first upstream that rests is back.
+        """Returns the seconds until an upstream of a service accepts requests.
 
         Returns:
-            0 when one of the service takes requests now, or none rests.
+            Seconds; 0 if one accepts requests now, or none has asked for a
+            pause.
         """
         names = [upstream.name for upstream in self.view.of_service(service)]
         return self.unavailable.seconds_until_available(names, now)
--- a/src/ridgesill/core/serving/customers.py
+++ b/src/ridgesill/core/serving/customers.py
@@ -1,7 +1,7 @@
-"""Customers, their keys and their limits.
+"""Customers, their API keys and their quotas.
 
-Keys are kept and looked up by digest, so that no process holds them in the
-clear beside the configuration's own document.
+Keys are stored and looked up by digest, so that the configuration document is
+the only place that holds them in plain text.
 """
 
 import hashlib
@@ -9,22 +9,22 @@
 
 import attrs
 
-# Long enough that no two keys have the same digest, in bytes.
+# 16 bytes are enough to make a collision between two keys negligible.
 _DIGEST_BYTES = 16
-# Customers that figures name; all others count as one.
-_NAMED_MOST = 8
-_OTHERS = "others"
+# Customers with a metric label of their own; all others share one label.
+_MAX_LABELS = 8
+_OTHERS_LABEL = "others"
 
 
 @attrs.frozen
 class Quota:
-    """How much a customer may send.
+    """The rate limit of a customer.
 
     Attributes:
-        rate: tokens, or requests, a second.
-        burst: the most that may come at once beyond it.
-        counts_tokens: whether both are in tokens.
-        plain_tokens: what a request that names no tokens counts for.
+        rate: tokens or requests per second.
+        burst: tokens or requests that may come at once beyond the rate.
+        counts_tokens: whether rate and burst are in tokens, not requests.
+        plain_tokens: tokens charged for a request that names no number.
     """
 
     rate: float
@@ -33,7 +33,7 @@
     plain_tokens: int = 0
 
     def cost(self, tokens: int) -> int:
-        """Returns what a request with this many tokens counts for."""
+        """Returns what a request with this many tokens costs: tokens, or 1."""
         if not self.counts_tokens:
             return 1
         return tokens or self.plain_tokens
@@ -41,11 +41,12 @@
 
 @attrs.frozen
 class Customer:
-    """A customer.
+    """A customer and the limits on its requests.
 
     Attributes:
-        priority: of its requests, before their routes'; None where it has none.
-        quota: None for no limit.
+        name: unique name of the customer.
+        priority: overrides the priority of the route; None to use the route's.
+        quota: the rate limit; None for no limit.
     """
 
     name: str
@@ -54,11 +55,11 @@
 
 
 class Customers:
-    """All customers, by the digests of their keys.
+    """All customers, indexed by the digests of their keys.
 
     Args:
-        customers: all of them, those without a key too.
-        by_digest: the holder of each key.
+        customers: all customers, including those without a key.
+        by_digest: the customer of each key digest.
     """
 
     def __init__(
@@ -68,22 +69,24 @@
     ) -> None:
         self._by_digest = dict(by_digest)
         self.quotas = {c.name: c.quota for c in customers if c.quota}
-        largest = sorted(customers, key=_rate, reverse=True)
-        self._named = {c.name for c in largest[:_NAMED_MOST]}
+        largest = sorted(customers, key=_quota_rate, reverse=True)
+        self._labelled = {c.name for c in largest[:_MAX_LABELS]}
 
     def find(self, digest: bytes) -> Customer | None:
-        """Returns the holder of a key; None for an unknown one."""
+        """Returns the customer of a key digest; None if it is unknown."""
         return self._by_digest.get(digest)
 
     def label(self, customer: Customer) -> str:
-        """Returns the name under which figures count a customer."""
-        return customer.name if customer.name in self._named else _OTHERS
+        """Returns the metric label of a customer."""
+        return (
+            customer.name if customer.name in self._labelled else _OTHERS_LABEL
+        )
 
 
-def _rate(customer: Customer) -> float:
+def _quota_rate(customer: Customer) -> float:
     return customer.quota.rate if customer.quota else float("inf")
 
 
 def digest_key(key: bytes) -> bytes:
-    """Returns the digest under which a key is kept."""
+    """Returns the digest under which a key is stored."""
     return hashlib.blake2b(key, digest_size=_DIGEST_BYTES).digest()
--- a/src/ridgesill/core/serving/events.py
+++ b/src/ridgesill/core/serving/events.py
@@ -1,45 +1,47 @@
-"""Server-sent events: whole events out of parts, and their ids."""
+"""Splits a stream of server-sent events and tracks event ids."""
 
-_ENDS = (b"\n\n", b"\r\n\r\n")
-_ID = b"id:"
+_EVENT_ENDS = (b"\n\n", b"\r\n\r\n")
+_ID_FIELD = b"id:"
 
 
 class EventSplitter:
-    """Cuts a stream into whole events.
+    """Splits a byte stream into complete events.
 
     Attributes:
-        last_id: of the last whole event; empty before it.
+        last_id: id of the last complete event; empty before the first one.
     """
 
     def __init__(self, last_id: str = "") -> None:
         self.last_id = last_id
-        self._rest = b""
+        self._partial = b""
 
     def feed(self, data: bytes) -> bytes:
-        """Returns the whole events that are there now; keeps the rest."""
-        buffered = self._rest + data
-        end = max(_end_of_last(buffered, mark) for mark in _ENDS)
-        whole = buffered[:end]
-        self._rest = buffered[end:]
-        self._note(whole)
-        return whole
-
-    def _note(self, whole: bytes) -> None:
-        for line in whole.split(b"\n"):
-            if line.startswith(_ID):
-                self.last_id = line[len(_ID) :].strip().decode("latin-1")
+        """Adds data; returns the complete events and buffers the remainder."""
+        buffered = self._partial + data
+        end = max(
+            _find_last_end(buffered, terminator) for terminator in _EVENT_ENDS
+        )
+        complete = buffered[:end]
+        self._partial = buffered[end:]
+        self._record_last_id(complete)
+        return complete
+
+    def _record_last_id(self, complete: bytes) -> None:
+        for line in complete.split(b"\n"):
+            if line.startswith(_ID_FIELD):
+                self.last_id = line[len(_ID_FIELD) :].strip().decode("latin-1")
 
     def discard_partial(self) -> None:
-        """Forgets an event that was cut off."""
-        self._rest = b""
+        """Discards the buffered part of an event that was cut off."""
+        self._partial = b""
 
     @property
     def partial(self) -> bytes:
-        """What is left of an event that has not ended."""
-        return self._rest
+        """The buffered part of an event that is not complete yet."""
+        return self._partial
 
 
-def _end_of_last(data: bytes, mark: bytes) -> int:
-    """Returns where the last event that ends with a mark ends; 0 for none."""
-    at = data.rfind(mark)
-    return at + len(mark) if at >= 0 else 0
+def _find_last_end(data: bytes, terminator: bytes) -> int:
+    """Returns the end of the last event with this terminator; 0 if none."""
+    index = data.rfind(terminator)
+    return index + len(terminator) if index >= 0 else 0
--- a/src/ridgesill/core/serving/fingerprints.py
+++ b/src/ridgesill/core/serving/fingerprints.py
@@ -1,8 +1,8 @@
-"""Tells whether two requests are the same one, repeated by its caller.
+"""Fingerprints that identify a request which its caller repeats.
 
-A repeated request has another id each time. What it keeps is its path, its
-body and its caller, who may have many addresses: fronts of different data
-centres see different ones.
+Each repetition has a new request id. Path, body and caller stay the same, but
+the caller may have several addresses: fronts in different data centres see
+different ones.
 """
 
 import hashlib
@@ -11,21 +11,22 @@
 
 from ridgesill.core.codec import register
 
-# Of the hash of a path, which only decides whether the other one is taken; and
-# of that one, by which requests are refused, so that no two may share it.
+# Length of the target hash, which only decides whether the content hash is
+# computed; and of the content hash, which decides whether a request is refused,
+# so that collisions must be negligible.
 _TARGET_BYTES = 8
-_WHOLE_BYTES = 16
+_CONTENT_BYTES = 16
 
 
 @register
 @attrs.frozen
 class Fingerprint:
-    """What a request and its repetitions have in common.
+    """Keyed hashes that a request and its repetitions have in common.
 
     Attributes:
-        target: keyed hash of path and query alone, which is cheap to take.
-        content: keyed hash of method, host, path, query and body.
-        caller: the same, with the caller's address.
+        target: hash of path and query only, which is cheap to compute.
+        content: hash of method, host, path, query and body.
+        caller: hash of the same parts and the caller's address.
     """
 
     target: str
@@ -38,8 +39,11 @@
     """The parts of a request that its repetitions share.
 
     Attributes:
+        method: the HTTP method.
+        host: the value of the Host header.
         target: path and query.
-        caller: the address that it came from, without the port.
+        caller: the address of the caller, without the port.
+        body: the whole body.
     """
 
     method: bytes
@@ -49,40 +53,43 @@
     body: bytes
 
     def local_hash(self) -> int:
-        """Returns a hash of what it says, of use in this process alone."""
+        """Returns a hash of the content that is only valid in this process."""
         return hash_locally(self.method, self.host, self.target, self.body)
 
 
 def hash_locally(method: bytes, host: str, target: bytes, body: bytes) -> int:
-    """Returns a hash of what a request says, of use in this process alone."""
+    """Returns a hash of a request's content, only valid in this process."""
     return hash((method, host, target, body))
 
 
 class Fingerprinter:
-    """Takes fingerprints.
+    """Computes fingerprints.
 
     Args:
-        key: shared by all fronts; without it nobody can make a request that
-            is taken for another caller's.
+        key: secret key of the hashes, shared by all fronts. Without it, nobody
+            can construct a request whose fingerprint matches that of another
+            caller.
     """
 
     def __init__(self, key: bytes = b"") -> None:
         self.key = key
 
     def hash_target(self, target: bytes) -> str:
-        """Returns the hash of path and query alone."""
-        taken = hashlib.blake2b(target, key=self.key, digest_size=_TARGET_BYTES)
-        return taken.hexdigest()
+        """Returns the hash of path and query for `Fingerprint.target`."""
+        hasher = hashlib.blake2b(
+            target, key=self.key, digest_size=_TARGET_BYTES
+        )
+        return hasher.hexdigest()
 
     def compute(self, identity: Identity) -> Fingerprint:
-        """Returns a request's fingerprint."""
-        taken = hashlib.blake2b(key=self.key, digest_size=_WHOLE_BYTES)
+        """Returns the fingerprint of a request."""
+        hasher = hashlib.blake2b(key=self.key, digest_size=_CONTENT_BYTES)
         host = identity.host.encode()
         for part in (identity.method, host, identity.target, identity.body):
-            # With its length, so that no two requests run together alike.
-            taken.update(len(part).to_bytes(4, "big"))
-            taken.update(part)
-        content = taken.hexdigest()
-        taken.update(identity.caller.encode())
+            # The length prefix keeps bytes from moving between parts unnoticed.
+            hasher.update(len(part).to_bytes(4, "big"))
+            hasher.update(part)
+        content = hasher.hexdigest()
+        hasher.update(identity.caller.encode())
         target = self.hash_target(identity.target)
-        return Fingerprint(target, content, taken.hexdigest())
+        return Fingerprint(target, content, hasher.hexdigest())
--- a/src/ridgesill/core/serving/front_limits.py
+++ b/src/ridgesill/core/serving/front_limits.py
@@ -1,4 +1,4 @@
-"""What a front may send upstreams that have named a limit."""
+"""Enforces the rate limits of upstreams at one front."""
 
 import random
 from collections.abc import Collection, Iterable
@@ -12,16 +12,16 @@
 )
 from ridgesill.core.serving.rates import FrontRates, RateUse
 
-# What each request counts for.
-_ONE = 1
+# Cost of a request against the limit of an upstream.
+_REQUEST_COST = 1
 
 
 class FrontLimits:
-    """The limits that a front knows, and its part in keeping them.
+    """The upstream limits that a front knows, and its share in keeping them.
 
     Args:
-        rng: draws which requests may go to a limited upstream.
-        front: the front's name, for operators.
+        rng: decides which requests may go to a limited upstream.
+        front: name of the front, reported with the limits that it hears.
     """
 
     def __init__(self, rng: random.Random, front: str = "") -> None:
@@ -32,20 +32,20 @@
     def record_limit(
         self, upstream: str, rate: float, sent_at: float, now: float
     ) -> bool:
-        """Takes a limit that an upstream names; returns whether it is news."""
+        """Records a limit that an upstream states; returns if it is new."""
         before = self.allowed_rate(upstream, now)
         self.known.record_limit(upstream, rate, sent_at, now, self._front)
         return self.allowed_rate(upstream, now) != before
 
     def apply_news(self, view: FleetView) -> None:
-        """Takes what the owner says."""
+        """Applies the limits and shares that the owner has sent."""
         self.known.merge(view.limits, view.known_at)
         self.rates.apply_news(view.sends, view.fronts, view.known_at)
 
     def list_unreported(
         self, view: FleetView, now: float
     ) -> dict[str, NamedLimit]:
-        """Returns the limits of which the owner knows less."""
+        """Returns the limits that the owner lacks or has an older state of."""
         return {
             upstream: limit
             for upstream, limit in self.known.report(now).items()
@@ -56,57 +56,64 @@
         }
 
     def allowed_rate(self, upstream: str, now: float) -> float | None:
-        """Returns what an upstream may get a second; None for any number."""
+        """Returns the requests per second an upstream may get; None if any."""
         return self.known.rate(upstream, now) if self.known else None
 
     def count(self) -> int:
-        """Returns how many upstreams are limited."""
+        """Returns the number of limited upstreams."""
         return len(self.known)
 
     def discard_except(self, upstreams: Collection[str], now: float) -> None:
-        """Forgets upstreams that are gone, and limits that are over."""
+        """Discards limits that have ended and those of other upstreams."""
         self.known.discard_except(upstreams, now)
 
 
 class LimitDraws:
-    """Which limited upstreams one request may go to.
+    """Decides which limited upstreams one request may go to.
 
-    Each is drawn for once, when the request could first go there. So a request
-    that it may not have goes elsewhere, and doesn't try its luck again.
+    There is one random draw per upstream, made when the request could first go
+    there. A request that loses goes elsewhere, and retries don't raise its
+    chance.
 
     Args:
-        limits: of the front.
+        limits: the limits that the front knows.
     """
 
     def __init__(self, limits: FrontLimits) -> None:
-        # Of the request, as `weigh_priority` returns it.
+        # Weight of the request's priority, as returned by `weigh_priority`.
         self.weight = 1.0
         self._limits = limits
-        self._drawn: dict[str, bool] = {}
+        self._decisions: dict[str, bool] = {}
         self._sent: set[str] = set()
 
     def is_allowed(self, upstream: str, now: float) -> bool:
-        """Whether the request may go to an upstream."""
+        """Whether the request may go to an upstream; draws only once."""
         if not self._limits.known:
             return True
-        drawn = self._drawn.get(upstream)
-        if drawn is not None:
-            return drawn
+        decision = self._decisions.get(upstream)
+        if decision is not None:
+            return decision
         allowed = self._limits.allowed_rate(upstream, now)
         if allowed is None:
             return True
         quota = make_quota(allowed)
-        drawn = self._limits.rates.draw(upstream, quota, _ONE, now, self.weight)
-        self._drawn[upstream] = drawn
-        return drawn
+        decision = self._limits.rates.draw(
+            upstream, quota, _REQUEST_COST, now, self.weight
+        )
+        self._decisions[upstream] = decision
+        return decision
 
     def list_denied(self) -> list[str]:
-        """Returns the upstreams that the request may not go to."""
-        return [name for name, is_open in self._drawn.items() if not is_open]
+        """Returns the limited upstreams that the request may not go to."""
+        return [
+            name
+            for name, allowed_here in self._decisions.items()
+            if not allowed_here
+        ]
 
     def is_granted(self, upstream: str) -> bool:
-        """Whether the request is one of those that a limit allows."""
-        return self._drawn.get(upstream, False)
+        """Whether the upstream is limited and the request won its draw."""
+        return self._decisions.get(upstream, False)
 
     def filter_allowed(
         self, upstreams: list[Upstream], now: float, *, prefers_limited: bool
@@ -114,10 +121,11 @@
         """Returns the upstreams that the request may go to.
 
         Args:
-            upstreams: that could serve it.
-            now: the clock, in seconds.
-            prefers_limited: whether those that a limit allows it are chosen
-                before others: what isn't sent there is lost to them.
+            upstreams: the upstreams that could serve it.
+            now: the current time, in seconds.
+            prefers_limited: whether to return only the limited upstreams that
+                it may go to, if any: capacity that is granted and not used is
+                lost to them. Otherwise unlimited upstreams go first.
         """
         if not self._limits.known:
             return upstreams
@@ -129,32 +137,32 @@
         return others or limited
 
     def are_all_denied(self, upstreams: Iterable[Upstream], now: float) -> bool:
-        """Whether all of some upstreams are limited, and none is open.
+        """Whether all given upstreams are limited and deny the request.
 
-        None is drawn for while one of them has no limit.
+        Makes no draw while one of them has no limit.
         """
         if not self._limits.known:
             return False
         names = [upstream.name for upstream in upstreams]
         if any(self._limits.allowed_rate(n, now) is None for n in names):
             return False
-        drawn = [self.is_allowed(name, now) for name in names]
-        return bool(names) and not any(drawn)
+        decision = [self.is_allowed(name, now) for name in names]
+        return bool(names) and not any(decision)
 
     def record_sent(self, upstream: str, now: float) -> None:
-        """Counts the request as sent to an upstream."""
+        """Counts the request against the limit of an upstream."""
         if self._limits.allowed_rate(upstream, now) is not None:
             self._sent.add(upstream)
-            self._limits.rates.spend(upstream, _ONE, now)
+            self._limits.rates.spend(upstream, _REQUEST_COST, now)
 
     def revert_sent(self, upstream: str, now: float) -> None:
-        """Takes that back: nothing of it has reached the upstream."""
+        """Reverts `record_sent`: no byte has reached the upstream."""
         if upstream in self._sent:
             self._sent.discard(upstream)
-            self._limits.rates.refund(upstream, RateUse(_ONE, 0), now)
+            self._limits.rates.refund(upstream, RateUse(_REQUEST_COST, 0), now)
 
     def release(self) -> None:
-        """Gives back what was drawn and not used."""
-        for upstream, is_open in self._drawn.items():
-            if is_open and upstream not in self._sent:
-                self._limits.rates.refund_draw(upstream, _ONE)
+        """Returns the capacity of draws that were won but not used."""
+        for upstream, allowed_here in self._decisions.items():
+            if allowed_here and upstream not in self._sent:
+                self._limits.rates.refund_draw(upstream, _REQUEST_COST)
--- a/src/ridgesill/core/serving/rates.py
+++ b/src/ridgesill/core/serving/rates.py
@@ -1,11 +1,12 @@
-"""A front's part in keeping rates that hold over all fronts.
-
-Load patterns: 74 fronts with 0.4 requests a second of an average customer each,
-of 200 to 40,000 tokens, while one customer sends eight times its usual; and an
-upstream that takes two requests a second from hundreds of fronts. A rate split
-among fronts refuses what is owed, since a single request can exceed a front's
-part. So the fleet's owner counts what all fronts let through, and tells each of
-them which share may pass.
+"""Distributed rate limiting: a front's part in limits over all fronts.
+
+Load patterns: 74 fronts, each with 0.4 requests per second of an average
+customer, of 200 to 40,000 tokens, while one customer sends eight times its
+usual load; and an upstream that accepts two requests per second from hundreds
+of fronts. A rate split evenly among fronts refuses requests within the limit,
+since a single request can exceed the part of one front. So the owner of the
+fleet counts what all fronts admit, and sends them the share of requests to
+admit.
 """
 
 import random
@@ -16,55 +17,57 @@
 from ridgesill.core.codec import register
 from ridgesill.core.serving.customers import Quota
 
-# Without news for this long a front goes by its own part of each rate, in
-# seconds; owners answer at least each 0.5 s.
-_NEWS_SECONDS = 1.0
-# How much of its part of a burst a front without news may let through at once:
+# A front without an update from the owner for this time falls back to its local
+# bucket of each rate. Owners send an update at least every 0.5 s.
+_NEWS_TIMEOUT_SECONDS = 1.0
+# Burst of a local bucket, as a multiple of the front's part of the whole burst:
 # requests reach fronts unevenly.
-_UNEVENNESS = 1.5
-# When a refused caller may come back, in seconds, and how far apart callers
-# that were refused together do.
-_AFTER_SECONDS = 1.0
-_SPREAD_SECONDS = 1.0
-# How many fronts one assumes that hasn't been told: fewer would have many that
-# start together send many times a rate.
-_FRONTS_UNTOLD = 100
-# How many times as often requests pass as those one priority below, down to
-# which priority, and the weight of one request in the mean of all.
+_LOCAL_BURST_FACTOR = 1.5
+# When a refused caller may retry, and the random spread that keeps callers that
+# were refused together from retrying together.
+_RETRY_AFTER_SECONDS = 1.0
+_RETRY_SPREAD_SECONDS = 1.0
+# Number of fronts that a front assumes until the owner reports it. With a lower
+# number, many fronts that start together would send many times a rate.
+_ASSUMED_FRONTS = 100
+# How many times as often requests are admitted as those one priority below; the
+# priority from which all are treated alike; and the weight of a request in the
+# moving mean of priority weights.
 _PRIORITY_FACTOR = 3.0
-_PRIORITY_MOST = 2
-_MIX_SHARE = 0.02
-# A share by which an owner that doesn't know yet how much is offered has fronts
-# go by their own parts.
+_MAX_PRIORITY = 2
+_WEIGHT_SMOOTHING = 0.02
+# Value of a share that makes fronts use their local buckets. An owner sends it
+# until it knows how much load is offered.
 DECIDE_LOCALLY = -1.0
 
 
 @register
 @attrs.frozen
 class RateUse:
-    """What was sent under a rate since the last report.
+    """The use of a rate since the last report, in tokens or requests.
 
     Attributes:
-        spent: by requests that were let through.
-        offered: by all requests.
+        spent: cost of the admitted requests.
+        offered: cost of all requests.
     """
 
     spent: int = 0
     offered: int = 0
 
     def plus(self, other: "RateUse") -> "RateUse":
-        """Returns the sum of two."""
+        """Returns the sum of two uses."""
         return RateUse(self.spent + other.spent, self.offered + other.offered)
 
 
 @register
 @attrs.frozen
 class RateState:
-    """What the owner says of a rate that is nearly used up.
+    """The state of a rate that is nearly used up, as the owner reports it.
 
     Attributes:
-        share: of the requests that may pass, or `BY_OWN_PART`.
-        level: what may still be sent at once; negative once beyond.
+        share: share of the requests to admit, or `DECIDE_LOCALLY`.
+        level: what may still be sent at once, in tokens or requests; negative
+            once the limit is exceeded.
     """
 
     share: float
@@ -72,7 +75,7 @@
 
     @property
     def is_limiting(self) -> bool:
-        """Whether not everything may pass."""
+        """Whether some requests are refused."""
         return self.share < 1
 
 
@@ -80,24 +83,44 @@
 
 
 def add_uses(one: Uses, other: Uses) -> dict[str, RateUse]:
-    """Returns the sums of two reports, by name."""
+    """Returns the sum of two reports, by name of the rate."""
     sums = dict(one)
     for name, use in other.items():
-        before = sums.get(name)
-        sums[name] = use if before is None else before.plus(use)
+        previous = sums.get(name)
+        sums[name] = use if previous is None else previous.plus(use)
     return sums
 
 
 @attrs.define
 class LocalBucket:
-    """A front's part of a rate while it has no news."""
+    """Token bucket for a front's part of a rate, without the owner.
+
+    Attributes:
+        level: tokens or requests left; negative once overdrawn.
+        refilled_at: when the bucket was last refilled, in seconds.
+    """
 
     level: float
     refilled_at: float
 
-    def acquire(self, cost: int, rate: float, most: float, now: float) -> bool:
-        """Spends a request's cost unless earlier ones have spent it all."""
-        self.level = min(self.level + rate * (now - self.refilled_at), most)
+    def acquire(
+        self, cost: int, rate: float, capacity: float, now: float
+    ) -> bool:
+        """Takes the cost of a request unless the bucket is empty.
+
+        A cost beyond the level overdraws the bucket, so that requests larger
+        than its capacity can pass.
+
+        Args:
+            cost: cost of the request.
+            rate: refill per second.
+            capacity: highest level.
+            now: the current time, in seconds.
+
+        Returns:
+            Whether the cost was taken.
+        """
+        self.level = min(self.level + rate * (now - self.refilled_at), capacity)
         self.refilled_at = now
         if self.level <= 0:
             return False
@@ -106,78 +129,83 @@
 
 
 @attrs.define
-class _Mix:
-    """How urgent the requests under a rate are, in the mean.
+class _MeanWeight:
+    """Moving mean of the priority weights of the requests under a rate.
 
     Attributes:
-        weight: the mean of their weights.
+        weight: the mean.
     """
 
     weight: float
 
-    def note(self, weight: float) -> None:
-        """Takes a request's weight into the mean."""
-        self.weight += _MIX_SHARE * (weight - self.weight)
+    def record(self, weight: float) -> None:
+        """Adds the weight of a request to the mean."""
+        self.weight += _WEIGHT_SMOOTHING * (weight - self.weight)
 
     def share(self, share: float, weight: float) -> float:
-        """Returns the share of such requests that may pass of a share of all.
+        """Returns the share of requests with a weight to admit.
 
-        The urgent pass more often than others, which are not shut out, and all
-        together as the share says.
+        Urgent requests are admitted more often than others, others aren't shut
+        out, and the share over all requests stays as given.
+
+        Args:
+            share: share of all requests to admit.
+            weight: priority weight of the requests in question.
         """
         return min(share * weight / self.weight, 1.0)
 
 
 def weigh_priority(priority: int) -> float:
-    """Returns by how much rather a request passes than those of priority 0."""
-    return _PRIORITY_FACTOR ** -min(priority, _PRIORITY_MOST)
+    """Returns the weight of a priority; 1 for priority 0, less for others."""
+    return _PRIORITY_FACTOR ** -min(priority, _MAX_PRIORITY)
 
 
 class FrontRates:
-    """Which requests under rates a front lets through.
+    """Decides which requests under a rate a front admits.
 
     Args:
-        rng: draws which of them.
-        by_parts: whether a rate of which the owner says nothing is kept by own
-            parts, which begin with nothing to spend, each by another amount
-            below that: many small parts that began full would let many times
-            the rate through at once.
+        rng: decides which requests are admitted, and spreads retries.
+        local_by_default: whether rates that the owner doesn't mention use local
+            buckets instead of being unlimited. These buckets start below zero,
+            each at another random level: many small buckets that started full
+            would admit many times the rate at once.
     """
 
     def __init__(
         self, rng: random.Random, *, local_by_default: bool = False
     ) -> None:
         self._rng = rng
-        self._by_parts = local_by_default
+        self._local_by_default = local_by_default
         self._states: Mapping[str, RateState] = {}
-        self._fronts = _FRONTS_UNTOLD if local_by_default else 1
-        self._told_at = float("-inf")
+        self._fronts = _ASSUMED_FRONTS if local_by_default else 1
+        self._news_at = float("-inf")
         self._uses: dict[str, RateUse] = {}
         self._used_since = float("inf")
-        self._parts: dict[str, LocalBucket] = {}
-        self._mixes: dict[str, _Mix] = {}
+        self._buckets: dict[str, LocalBucket] = {}
+        self._mean_weights: dict[str, _MeanWeight] = {}
 
     def apply_news(
         self, states: Mapping[str, RateState], fronts: int, told_at: float
     ) -> None:
-        """Takes what the owner says.
+        """Applies an update from the owner.
 
         Args:
-            states: of the rates that are nearly used up.
-            fronts: how many there are.
-            told_at: when it said so, on the runtime's clock.
+            states: states of the rates that are nearly used up.
+            fronts: number of fronts.
+            told_at: when the owner sent the update, in seconds on this front's
+                clock.
         """
         self._states = states
         self._fronts = max(fronts, 1)
-        self._told_at = told_at
-        for name in self._mixes.keys() - states.keys():
-            del self._mixes[name]
-        for name in list(self._parts):
-            if not self._goes_by_part(name, told_at):
-                del self._parts[name]
+        self._news_at = told_at
+        for name in self._mean_weights.keys() - states.keys():
+            del self._mean_weights[name]
+        for name in list(self._buckets):
+            if not self._decides_locally(name, told_at):
+                del self._buckets[name]
 
     def update_front_count(self, fronts: int) -> None:
-        """Takes how many fronts there are from an owner that knows no more."""
+        """Applies the number of fronts from an owner without rate states."""
         self._fronts = max(fronts, 1)
 
     def admit(
@@ -188,7 +216,7 @@
         now: float,
         weight: float = 1.0,
     ) -> bool:
-        """Returns whether a request may pass; counts it as sent if so."""
+        """Decides whether to admit a request; counts it as sent if so."""
         is_admitted = self.draw(name, quota, cost, now, weight)
         if is_admitted:
             self.spend(name, cost, now)
@@ -202,86 +230,88 @@
         now: float,
         weight: float = 1.0,
     ) -> bool:
-        """Returns whether a request may pass, which need not be sent.
+        """Decides whether to admit a request without counting it as sent.
 
         Args:
-            name: of the rate.
-            quota: the rate.
-            cost: of the request.
-            now: the clock, in seconds.
-            weight: by how much rather it passes than others.
+            name: name of the rate.
+            quota: rate and burst over all fronts.
+            cost: cost of the request, in tokens or requests.
+            now: the current time, in seconds.
+            weight: weight of its priority, from `weigh_priority`.
         """
-        self._add(name, RateUse(0, cost), now)
+        self._add_use(name, RateUse(0, cost), now)
         state = self._states.get(name)
-        if not self._goes_by_part(name, now):
+        if not self._decides_locally(name, now):
             if state is None:
                 return True
-            mix = self._mixes.setdefault(name, _Mix(weight))
-            mix.note(weight)
-            return self._rng.random() < mix.share(state.share, weight)
-        unevenness = 1.0 if self._by_parts else _UNEVENNESS
-        most = unevenness * quota.burst / self._fronts
-        part = self._parts.get(name)
-        if part is None:
-            level = self._first_level(state, most)
-            part = self._parts[name] = LocalBucket(level, now)
-        return part.acquire(cost, quota.rate / self._fronts, most, now)
-
-    def _goes_by_part(self, name: str, now: float) -> bool:
-        """Whether this front keeps to its own part of a rate."""
-        if now - self._told_at >= _NEWS_SECONDS:
+            mean_weight = self._mean_weights.setdefault(
+                name, _MeanWeight(weight)
+            )
+            mean_weight.record(weight)
+            return self._rng.random() < mean_weight.share(state.share, weight)
+        burst_factor = 1.0 if self._local_by_default else _LOCAL_BURST_FACTOR
+        capacity = burst_factor * quota.burst / self._fronts
+        bucket = self._buckets.get(name)
+        if bucket is None:
+            level = self._initial_level(state, capacity)
+            bucket = self._buckets[name] = LocalBucket(level, now)
+        return bucket.acquire(cost, quota.rate / self._fronts, capacity, now)
+
+    def _decides_locally(self, name: str, now: float) -> bool:
+        """Whether this front uses its local bucket for a rate."""
+        if now - self._news_at >= _NEWS_TIMEOUT_SECONDS:
             return True
         state = self._states.get(name)
         if state is None:
-            return self._by_parts
+            return self._local_by_default
         return state.share == DECIDE_LOCALLY
 
-    def _first_level(self, state: RateState | None, most: float) -> float:
-        if self._by_parts:
+    def _initial_level(self, state: RateState | None, capacity: float) -> float:
+        if self._local_by_default:
             return -self._rng.random()
-        return 0.0 if state is not None and state.is_limiting else most
+        return 0.0 if state is not None and state.is_limiting else capacity
 
     def spend(self, name: str, cost: int, now: float) -> None:
-        """Counts a request that is sent."""
-        self._add(name, RateUse(cost, 0), now)
+        """Counts the cost of a request that is sent."""
+        self._add_use(name, RateUse(cost, 0), now)
 
     def refund(self, name: str, use: RateUse, now: float) -> None:
-        """Takes back what was counted of a request that wasn't sent."""
-        self._add(name, RateUse(-use.spent, -use.offered), now)
+        """Reverts what was counted for a request that wasn't sent."""
+        self._add_use(name, RateUse(-use.spent, -use.offered), now)
 
     def refund_draw(self, name: str, cost: int) -> None:
-        """Takes back what a request that may pass, but isn't sent, drew."""
-        part = self._parts.get(name)
-        if part is not None:
-            part.level += cost
-
-    def _add(self, name: str, use: RateUse, now: float) -> None:
-        before = self._uses.get(name)
-        self._uses[name] = use if before is None else before.plus(use)
+        """Returns to the local bucket what an unsent request took from it."""
+        bucket = self._buckets.get(name)
+        if bucket is not None:
+            bucket.level += cost
+
+    def _add_use(self, name: str, use: RateUse, now: float) -> None:
+        previous = self._uses.get(name)
+        self._uses[name] = use if previous is None else previous.plus(use)
         self._used_since = min(self._used_since, now)
 
     def describe_decision(self, name: str, now: float) -> dict[str, object]:
-        """Returns by whose word a request is let through, for the log."""
+        """Returns the basis of the decisions for a rate, for the log."""
         state = self._states.get(name)
-        age = now - self._told_at
-        is_own = self._goes_by_part(name, now)
+        age = now - self._news_at
+        is_local = self._decides_locally(name, now)
         return {
-            "decided_by": "own_part" if is_own else "owner",
+            "decided_by": "own_part" if is_local else "owner",
             "share": state.share if state is not None else 1.0,
             "news_age": round(min(age, 1e9), 3),
         }
 
     def retry_after_seconds(self) -> float:
-        """Returns the seconds after which a refused caller may come back."""
-        return _AFTER_SECONDS + self._rng.random() * _SPREAD_SECONDS
+        """Returns the seconds after which a refused caller may retry."""
+        return _RETRY_AFTER_SECONDS + self._rng.random() * _RETRY_SPREAD_SECONDS
 
     def collect_uses(self) -> dict[str, RateUse]:
-        """Returns what was sent since the last call."""
+        """Returns the uses by rate since the last call, and resets them."""
         uses, self._uses = self._uses, {}
         self._used_since = float("inf")
         return uses
 
     @property
     def used_since(self) -> float:
-        """When the first of what `take_uses` returns was sent."""
+        """When the first use that `collect_uses` returns was counted."""
         return self._used_since
--- a/src/ridgesill/core/serving/recent_answers.py
+++ b/src/ridgesill/core/serving/recent_answers.py
@@ -1,29 +1,32 @@
-"""Requests that were answered a moment ago.
+"""Requests that were answered recently, which are unlikely to crash upstreams.
 
-One that many send, word for word, is aboard of every upstream that ends, and
-causes none of it: it is answered all the time.
+A request that many callers send with identical content is in progress at every
+upstream that crashes without being the cause. Its recent answers show that.
 """
 
-# How long an answer speaks for a request, in seconds: longer than upstreams
-# that end take to come back, and short enough that what ends upstreams of a new
-# version isn't taken for harmless.
+# How long an answer counts as evidence that a request is harmless. This is
+# longer than a crashed upstream takes to return, and short enough that a
+# request that crashes a newly deployed version isn't considered harmless.
 _RETENTION_SECONDS = 10.0
-# How many are kept; who sends fewer a second is known for the whole time.
+# How many requests are kept. Fronts that answer fewer than this many distinct
+# requests within the retention time keep each of them for all of it.
 _MAX_KEYS = 1024
 
 
 class RecentAnswers:
-    """The requests that a front has had answered lately."""
+    """Remembers the requests that received a complete answer recently."""
 
     def __init__(self) -> None:
-        # The oldest first.
+        # Ordered by age, the oldest first.
         self._answered_at: dict[int, float] = {}
 
     def record(self, key: int, now: float) -> None:
-        """Notes a whole answer to a request, by the hash of what it says.
+        """Records a complete answer to a request.
 
-        This process's own hash will do, and costs less than one that others
-        could compare.
+        Args:
+            key: hash of the request's content; a hash that is only valid in
+                this process is enough, and cheaper than a portable one.
+            now: the current time, in seconds.
         """
         self._answered_at.pop(key, None)
         self._answered_at[key] = now
@@ -31,6 +34,8 @@
             del self._answered_at[next(iter(self._answered_at))]
 
     def is_answered(self, key: int, now: float) -> bool:
-        """Whether a request was answered a moment ago."""
-        at = self._answered_at.get(key)
-        return at is not None and now - at <= _RETENTION_SECONDS
+        """Whether a request was answered within the retention time."""
+        answered_at = self._answered_at.get(key)
+        return (
+            answered_at is not None and now - answered_at <= _RETENTION_SECONDS
+        )
--- a/src/ridgesill/core/serving/routes.py
+++ b/src/ridgesill/core/serving/routes.py
@@ -1,4 +1,4 @@
-"""Routes by host and prefix, and the services that they lead to."""
+"""Routes by host and path prefix, and the services behind them."""
 
 from collections.abc import Iterable
 
@@ -13,7 +13,7 @@
 
 @attrs.frozen
 class Target:
-    """A service that a route leads to, with its share of the requests."""
+    """A service behind a route, and its weight in splitting the requests."""
 
     service: str
     weight: int = 1
@@ -21,18 +21,23 @@
 
 @attrs.frozen
 class Route:
-    """One route.
+    """Maps a host and a path prefix to services.
 
     Attributes:
-        kind: `safe` requests may run again, `unsafe` ones may not; `stream`
-            ones only where `resumable`.
+        name: unique name of the route.
+        host: host name, compared without case.
+        prefix: path prefix, which ends at a slash.
+        kind: `safe` requests may be repeated, `unsafe` ones may not, and
+            `stream` ones only if `resumable`.
         timeout: seconds within which a request gets its final answer.
         goal: seconds within which an answer is in time.
         priority: 0 is the most urgent.
-        attempts: upstreams that one request may go to at most.
+        targets: the services, with their weights.
+        attempts: highest number of upstreams that a request is sent to.
         affinity: whether requests name the parts of their prompt.
-        pause_goal: seconds; the longest pause between events in time.
-        is_public: whether its requests need no key.
+        resumable: whether an interrupted stream can be resumed.
+        pause_goal: seconds; the longest pause between two events in time.
+        is_public: whether requests need no API key.
     """
 
     name: str
@@ -51,23 +56,31 @@
 
     @property
     def is_idempotent(self) -> bool:
-        """Whether a request may run more than once."""
+        """Whether a request may be executed more than once."""
         return self.kind == SAFE or (self.kind == STREAM and self.resumable)
 
     def choose_target(self, draw: float) -> str:
-        """Returns the service for a draw between 0 and 1."""
+        """Returns the service for a random number from 0 to below 1."""
         total = sum(target.weight for target in self.targets)
-        rest = draw * total
+        remaining = draw * total
         for target in self.targets:
-            rest -= target.weight
-            if rest < 0:
+            remaining -= target.weight
+            if remaining < 0:
                 return target.service
         return self.targets[-1].service
 
 
 @attrs.frozen
 class Model:
-    """A base model that engines of a service may hold."""
+    """A base model that engines of a service may hold.
+
+    Attributes:
+        name: name of the model.
+        weights_mb: size of its weights, in MB.
+        load_seconds: seconds that loading it takes.
+        adapters: number of its adapters.
+        adapter_mb: size of an adapter, in MB.
+    """
 
     name: str
     weights_mb: float
@@ -78,13 +91,14 @@
 
 @attrs.frozen
 class EngineSpec:
-    """What the model engines of a service can do.
+    """Capacities of the model engines of a service.
 
     Attributes:
-        slots: requests that run at once.
-        weights_mb: room for weights and adapters together.
-        adapter_slots: places for adapters.
+        slots: requests that an engine runs at once.
+        weights_mb: memory for weights and adapters, in MB.
+        adapter_slots: adapters that an engine may hold.
         loads_per_second: model loads from the weight store, over all engines.
+        models: the base models of the service.
     """
 
     slots: int
@@ -94,16 +108,19 @@
     models: tuple[Model, ...]
 
     def model(self, name: str) -> Model | None:
-        """Returns a model by name."""
+        """Returns a model by name; None if it is unknown."""
         return next((m for m in self.models if m.name == name), None)
 
 
 @attrs.frozen
 class Service:
-    """A service; `engine` is None for a plain one.
+    """A service that runs on upstreams.
 
     Attributes:
-        connections: channels that an upstream takes from all callers.
+        name: unique name of the service.
+        health_path: path of the health check.
+        connections: connections that an upstream accepts from all callers.
+        engine: capacities of its engines; None for a plain service.
     """
 
     name: str
@@ -114,13 +131,13 @@
 
 @attrs.frozen
 class ClientLimits:
-    """What a client may send, and for how long it may keep quiet.
+    """Limits on the size and the timing of client requests.
 
     Attributes:
-        header_bytes: of the request line and all headers.
-        body_bytes: of a request's body.
-        header_seconds: from the first byte of a head to its end.
-        idle_seconds: that a channel may rest between requests.
+        header_bytes: size of the request line and all headers.
+        body_bytes: size of the body.
+        header_seconds: time from the first byte of a head to its end.
+        idle_seconds: time that a connection may be idle between requests.
     """
 
     header_bytes: int = 16 * 1024
@@ -133,11 +150,11 @@
     """The routes in force.
 
     Args:
-        version: of the configuration.
+        version: version of the configuration.
         routes: all routes.
         services: all services.
-        limits: for clients; None where the configuration names none.
-        customers: None where callers need no keys.
+        limits: limits for clients; None if the configuration names none.
+        customers: all customers; None if callers need no API keys.
     """
 
     def __init__(
@@ -158,8 +175,8 @@
             by_prefix[route.prefix] = route
 
     def find(self, host: str, path: str) -> Route | None:
-        """Returns the route of the longest prefix that begins a path."""
-        by_prefix = self._by_host.get(_bare_host(host))
+        """Returns the route with the longest matching prefix, None if none."""
+        by_prefix = self._by_host.get(_strip_port(host))
         if by_prefix is None:
             return None
         end = path.rfind("/")
@@ -171,8 +188,8 @@
         return None
 
 
-def _bare_host(host: str) -> str:
-    """Returns a Host header's name without its port."""
+def _strip_port(host: str) -> str:
+    """Returns the host name of a Host header, without port, in lower case."""
     name, separator, port = host.rpartition(":")
     if separator and port.isdigit():
         host = name
