--- a/src/ridgesill/core/pool/__init__.py
+++ b/src/ridgesill/core/pool/__init__.py
@@ -1,1 +1,1 @@
-"""A pool's owner: admission, placement, pins and queues of its runners."""
+"""Pool owners: admission, placement, pins and queues for runners."""
--- a/src/ridgesill/core/pool/context.py
+++ b/src/ridgesill/core/pool/context.py
@@ -1,4 +1,4 @@
-"""What the parts of a pool's owner share."""
+"""The state of a pool that the parts of its owner share."""
 
 from typing import Any
 
@@ -12,17 +12,17 @@
 
 @attrs.frozen
 class PoolLimits:
-    """Limits and tunings of a pool.
+    """Limits and tuning parameters of a pool.
 
     Attributes:
-        queue: requests that may wait.
-        half_life: of popularity, in seconds.
-        announce_patience: seconds of silence after which a runner counts as
-            gone.
-        order_deadline: seconds within which an order must begin.
-        report_lag: seconds by which a runner's reports may lag.
-        copy_margin: how much more in flight a copy must save to be loaded,
-            as a share of a runner's capacity.
+        queue: highest number of waiting requests.
+        half_life: half-life of adapter popularity, in seconds.
+        announce_patience: seconds without an announcement after which a runner
+            gets no new work.
+        order_deadline: seconds within which a runner must start an order.
+        report_lag: seconds by which the reports of a runner may lag.
+        copy_margin: number of waiting requests from which another copy of an
+            adapter is loaded, as a share of a runner's capacity.
     """
 
     queue: int = 256
@@ -35,10 +35,15 @@
 
 @attrs.define
 class Load:
-    """A load that waits for its permit or runs.
+    """A load of an adapter that waits for its permit or is running.
 
     Attributes:
-        victim: the adapter that is unloaded first; empty for none.
+        permit: id of the permit.
+        runner: name of the runner that loads.
+        adapter: the adapter to load.
+        requested_at: when the permit was requested, in seconds.
+        is_ordered: whether the runner was sent an order.
+        victim: the adapter that is unloaded first; empty if there is none.
     """
 
     permit: str
@@ -51,17 +56,25 @@
 
 @attrs.define
 class PoolState:
-    """The state of one pool.
+    """The state of one pool; all times are in seconds.
 
     Attributes:
-        starts_at: from when orders and admissions are allowed; until then
-            an earlier owner's lease may still run.
-        unloads_at: from when unloads are allowed; until then entry nodes may
-            not yet have told which requests they hold here.
-        loads: by permit.
-        paused_until: until when an adapter that failed to load is not tried
-            again on a runner, by runner and adapter.
-        output: messages for others, in order.
+        pool: name of the pool.
+        service: name of the service that its runners belong to.
+        epoch: the fencing number of this ownership.
+        starts_at: from when orders and grants are allowed; before that, the
+            lease of an earlier owner may still be valid.
+        unloads_at: from when unloads are allowed; before that, entry nodes may
+            not yet have reported the requests that they hold here.
+        limits: limits and tuning parameters.
+        batch_weight: 0 to prefer empty runners, 1 to prefer full ones.
+        popularity: request frequencies by adapter.
+        runners: the known runners, by name.
+        waiting: the requests that wait for a runner.
+        loads: the loads in progress, by permit.
+        paused_until: when an adapter that failed to load may be tried again on
+            a runner, by runner and adapter.
+        output: messages to send, in order.
     """
 
     pool: str
@@ -79,23 +92,35 @@
     output: list[Any] = attrs.Factory(list)
 
     def holders(self, adapter: str) -> list[RunnerState]:
-        """Returns the runners with a slot for an adapter, ready or not."""
+        """Returns the runners with a slot for an adapter, in any state."""
         return [r for r in self.runners.values() if adapter in r.slots]
 
     def is_loading(self, adapter: str) -> bool:
-        """Whether a load of an adapter is asked for or runs."""
+        """Whether a load of an adapter waits for its permit or is running."""
         return any(load.adapter == adapter for load in self.loads.values())
 
     def is_live(self, runner: RunnerState, now: float) -> bool:
-        """Whether a runner has announced itself lately."""
+        """Whether a runner has announced itself within the allowed time."""
         return now - runner.announced_at <= self.limits.announce_patience
 
     def refuse_waiter(self, waiter: Waiter, reason: str, after: float) -> None:
-        """Takes a request out of the queue and refuses it."""
+        """Removes a waiting request from the queue and refuses it.
+
+        Args:
+            waiter: the waiting request.
+            reason: the reason to send.
+            after: seconds after which a retry makes sense.
+        """
         self.waiting.remove(waiter)
         self.refuse_request(waiter.admit, reason, after)
 
     def refuse_request(self, admit: Admit, reason: str, after: float) -> None:
-        """Refuses a request that is not in the queue."""
+        """Refuses a request that is not in the queue.
+
+        Args:
+            admit: the request.
+            reason: the reason to send.
+            after: seconds after which a retry makes sense.
+        """
         refused = Refused(admit.request, reason, round(max(after, 0.1), 3))
         self.output.append(Reply(admit.node, refused))
--- a/src/ridgesill/core/pool/hints.py
+++ b/src/ridgesill/core/pool/hints.py
@@ -1,28 +1,30 @@
-"""What entry nodes know of a pool, and how owners tell them of changes.
+"""Hints about a pool, which its owner sends to entry nodes as digests.
 
-A pool of nine runners holds some 150 adapters, whose names are 3 KB. Sent
-whole to every node of a region twice a second they would cost a node of 330
-several times its share of the network, so a digest says only what changed.
+A pool of nine runners holds about 150 adapters, whose names take 3 KB. Sending
+all of them twice a second to each of 330 nodes in a region would exceed a
+node's share of the network several times, so most digests contain only changes.
 """
 
 import attrs
 
 from ridgesill.core.pool.messages import Digest
 
+# A whole digest at least this often lets entry nodes recover after a gap.
 _WHOLE_EVERY_SECONDS = 30.0
-# Load changes all the time; what is resident matters more.
+# Changes in load alone are sent less often than changes of resident adapters.
 _LOAD_EVERY_SECONDS = 1.0
 
 
 @attrs.define
 class PoolHints:
-    """A pool as an entry node knows it; it may be old.
+    """The state of a pool as an entry node knows it, which may be outdated.
 
     Attributes:
-        number: of the last digest that `resident` is built from.
-        resident: adapters on some runner of it, as `name@version`.
-        spare: requests that its runners have room for.
-        waiting: requests that wait there.
+        epoch: epoch of the owner that sent the last digest.
+        number: number of the last digest applied to `resident`.
+        resident: adapters on at least one runner, as `name@version`.
+        spare: number of further requests that the runners can take.
+        waiting: number of waiting requests.
     """
 
     epoch: int = -1
@@ -32,10 +34,10 @@
     waiting: int = 0
 
     def apply_digest(self, digest: Digest) -> None:
-        """Takes a digest; one from an earlier owner is passed over.
+        """Applies a digest; ignores one from an earlier owner.
 
-        After a gap, what is resident stays as it was known until the next
-        whole digest.
+        After a missed digest, `resident` stays unchanged until the next whole
+        one.
         """
         if digest.epoch < self.epoch:
             return
@@ -53,7 +55,7 @@
 
 @attrs.define
 class DigestBuilder:
-    """Makes an owner's digests, whole at first and then now and then."""
+    """Builds the digests of an owner: whole ones regularly, else changes."""
 
     pool: str
     epoch: int
@@ -71,7 +73,16 @@
         receivers: frozenset[str],
         now: float,
     ) -> Digest | None:
-        """Returns the next digest for these receivers; None for no need."""
+        """Returns the next digest, or None if none is due.
+
+        Args:
+            resident: adapters on at least one runner, as `name@version`.
+            spare: number of further requests that the runners can take.
+            waiting: number of waiting requests.
+            receivers: the entry nodes that get it; a new one among them makes
+                the digest whole.
+            now: the current time, in seconds.
+        """
         is_whole = (
             bool(receivers - self._receivers)
             or now - self._whole_built_at >= _WHOLE_EVERY_SECONDS
--- a/src/ridgesill/core/pool/loads.py
+++ b/src/ridgesill/core/pool/loads.py
@@ -1,4 +1,4 @@
-"""Loads: asking for permits, ordering, and what becomes of orders."""
+"""Requests permits for adapter loads, orders them, handles their results."""
 
 import itertools
 
@@ -23,9 +23,13 @@
 from ridgesill.core.pool.waiting import Waiter
 from ridgesill.core.runners import LOAD, UNLOAD, Order
 
+# Failed loads of an adapter after which its waiting requests are refused.
 _MAX_FAILED_LOADS = 3
+# Pause after the first failed load of an adapter on a runner; it doubles with
+# each further failure.
 _FAILED_LOAD_PAUSE_SECONDS = 2.0
 _PERMIT_TIMEOUT_SECONDS = 5.0
+# Weight of the newest load in the mean duration of a load.
 _SMOOTHING = 0.2
 
 
@@ -33,7 +37,7 @@
     """The loads of a pool.
 
     Attributes:
-        seconds: what a load takes, as a moving mean.
+        seconds: moving mean of the duration of a load, in seconds.
     """
 
     def __init__(self, state: PoolState, placement: Placement) -> None:
@@ -45,41 +49,44 @@
         self._ids = itertools.count()
 
     def begin_pass(self) -> None:
-        """Notes that a pass over the queue begins."""
+        """Resets what is remembered within one pass over the queue."""
         self._has_no_target = False
 
     def handle_permit(self, message: GrantPermit, now: float) -> None:
-        """Begins the load that a permit is for, or another in its place."""
+        """Starts the load that a permit is for, or another load instead."""
         load = self._state.loads.get(message.permit)
         if load is None:
             self._return_permit(message.permit)
             return
-        # Much may have changed while the permit was on its way; what it was
-        # asked for may be served, given up, or without a slot.
+        # The state may have changed since the permit was requested: the waiting
+        # requests may be served or cancelled, or the runner may have no slot.
         if not self._start_load(load, now) and not self._start_other_load(
             load, now
         ):
             self.cancel(load)
 
     def cancel(self, load: Load) -> None:
-        """Ends a load and gives its permit back."""
+        """Removes a load and returns its permit."""
         self._state.loads.pop(load.permit, None)
         self._return_permit(load.permit)
 
     def cancel_unordered(self) -> None:
-        """Gives up all loads that have not been ordered."""
+        """Cancels all loads that have not been ordered."""
         for load in list(self._state.loads.values()):
             if not load.is_ordered:
                 self.cancel(load)
 
     def cancel_on_runner(self, runner: str) -> None:
-        """Gives up all loads of a runner."""
+        """Cancels all loads on a runner."""
         for load in list(self._state.loads.values()):
             if load.runner == runner:
                 self.cancel(load)
 
     def tick(self, now: float) -> None:
-        """Asks anew where an allocator may have lost the question."""
+        """Cancels loads whose permit request the allocator may have lost.
+
+        The next pass over the queue requests a new permit.
+        """
         for load in list(self._state.loads.values()):
             if (
                 not load.is_ordered
@@ -94,7 +101,7 @@
     def request_load(
         self, group: list[Waiter], adapter: str, now: float
     ) -> None:
-        """Asks for a load if those who wait for an adapter call for one."""
+        """Requests a load of an adapter if its waiting requests justify one."""
         holders = self._state.holders(adapter)
         if self._state.is_loading(adapter):
             self._record_stall(group, holders, now)
@@ -108,8 +115,8 @@
         if runner is not None:
             self._request_permit(runner, adapter, len(group), now)
         elif not holders:
-            # Nothing can be displaced, so the rest of this pass need not
-            # look again: under overload it would for hundreds of waiters.
+            # No adapter can be evicted, so the rest of this pass skips the
+            # search. Under overload it would run for hundreds of waiters.
             self._has_no_target = True
 
     def _record_stall(
@@ -132,7 +139,7 @@
         self._state.output.append(ToAllocator(ask))
 
     def _start_load(self, load: Load, now: float) -> bool:
-        """Orders a load, or returns False if it can't or need not be."""
+        """Orders a load; returns False if it is impossible or not needed."""
         runner = self._state.runners.get(load.runner)
         wanted = self._state.waiting.group(load.adapter)
         if runner is None or not wanted or load.adapter in runner.slots:
@@ -151,9 +158,10 @@
         return True
 
     def _start_other_load(self, load: Load, now: float) -> bool:
-        """Uses a permit for the first other adapter that waits for one.
+        """Uses a permit for the first other adapter that needs a load.
 
-        A permit given back has already cost the store's rate.
+        Returning the permit would waste it: it has already been counted
+        against the rate of the weight store.
         """
         self._placement.begin_pass()
         del self._state.loads[load.permit]
@@ -182,7 +190,7 @@
         self.order(UNLOAD, runner, adapter)
 
     def order(self, action: str, runner: RunnerState, adapter: str) -> None:
-        """Orders something of a runner under this owner's epoch."""
+        """Sends an order to a runner, fenced by the epoch of this owner."""
         order = Order(
             action,
             runner.name,
@@ -194,7 +202,13 @@
         self._state.output.append(SendOrder(order))
 
     def handle_result(self, order: Order, verdict: str, now: float) -> None:
-        """Takes what became of an order to load or unload."""
+        """Handles the result of an order to load or unload.
+
+        Args:
+            order: the order.
+            verdict: `done`, `failed` or `unknown`.
+            now: the current time, in seconds.
+        """
         load = self._find_load(order)
         if load is not None:
             self.cancel(load)
@@ -262,7 +276,7 @@
     def _continue_load(
         self, load: Load, runner: RunnerState, verdict: str
     ) -> None:
-        """Loads into the slot that an unload has freed, or has not."""
+        """Orders a load once its victim is unloaded, or cancels the load."""
         load.victim = ""
         if verdict == "done":
             self.order(LOAD, runner, load.adapter)
--- a/src/ridgesill/core/pool/messages.py
+++ b/src/ridgesill/core/pool/messages.py
@@ -1,4 +1,4 @@
-"""What entry nodes and a pool's owner say to each other."""
+"""Messages between entry nodes, pool owners and the permit allocator."""
 
 from typing import Any
 
@@ -7,7 +7,7 @@
 from ridgesill.core.codec import register
 from ridgesill.core.runners import Order
 
-# Reasons of a refusal; each is explained in docs/reference/outcomes.md.
+# Reasons for a refusal; docs/reference/outcomes.md explains them.
 QUEUE_FULL = "queue-full"
 TOO_LATE = "deadline"
 NO_RUNNER = "no-runner"
@@ -19,14 +19,18 @@
 @register
 @attrs.frozen
 class Admit:
-    """Asks a pool's owner for a runner.
+    """Requests a runner from the owner of a pool.
 
     Attributes:
-        request: an id unique over all nodes.
+        request: id of the request, unique over all nodes.
         node: the incarnation of the entry node.
+        pool: name of the pool.
         adapter: `name@version`; empty for a plain service.
+        team: name of the team, for fair queueing.
         priority: 0 is the most important.
-        patience: seconds within which the request must have begun.
+        patience: seconds within which the request must have started.
+        weight: weight of the team in fair queueing.
+        avoid: names of runners to use only if no other is available.
     """
 
     request: str
@@ -43,7 +47,17 @@
 @register
 @attrs.frozen
 class Granted:
-    """Admits a request to a runner; its adapter stays until `Finished`."""
+    """Grants a runner to a request; pins its adapter until `Finished`.
+
+    Attributes:
+        request: id of the request.
+        runner: name of the runner.
+        address: `host:port` of the runner.
+        incarnation: the incarnation of the runner.
+        waited: seconds that the request waited in the queue.
+        stalled: seconds of these that it waited for a load.
+        batch: requests in flight at the runner, including this one.
+    """
 
     request: str
     runner: str
@@ -57,9 +71,11 @@
 @register
 @attrs.frozen
 class Refused:
-    """Refuses a request, which then has not run.
+    """Refuses a request, which has not been executed.
 
     Attributes:
+        request: id of the request.
+        reason: one of the reasons above.
         retry_after: seconds after which a retry makes sense.
     """
 
@@ -76,11 +92,13 @@
 @register
 @attrs.frozen
 class Finished:
-    """Ends a request's pin.
+    """Ends the pin of a request, or removes the request from the queue.
 
     Attributes:
-        verdict: `fine`, `failed` (the runner's fault) or `absent` (the
-            runner said that it does not hold the adapter).
+        request: id of the request.
+        pool: name of the pool.
+        verdict: `fine`, `failed` (a fault of the runner) or `absent` (the
+            runner doesn't hold the adapter).
     """
 
     request: str
@@ -91,7 +109,15 @@
 @register
 @attrs.frozen
 class Pin:
-    """A request that an entry node holds a grant for."""
+    """A granted request, which keeps its adapter from being unloaded.
+
+    Attributes:
+        request: id of the request.
+        runner: name of the runner.
+        incarnation: the incarnation of the runner.
+        adapter: `name@version`; empty for a plain service.
+        team: name of the team.
+    """
 
     request: str
     runner: str
@@ -105,8 +131,13 @@
 class Holding:
     """All grants that an entry node holds in a pool, sent regularly.
 
-    A new owner rebuilds its pins from it; a known one ends those pins of the
-    node that it no longer lists.
+    A new owner rebuilds its pins from it. An owner that has pins of the node
+    ends those that the message no longer lists.
+
+    Attributes:
+        node: the incarnation of the entry node.
+        pool: name of the pool.
+        pins: the granted requests.
     """
 
     node: str
@@ -117,15 +148,17 @@
 @register
 @attrs.frozen
 class Digest:
-    """What an owner tells entry nodes about its pool, as hints only.
+    """The state of a pool for entry nodes, which use it only as a hint.
 
     Attributes:
-        number: counts an owner's digests.
-        is_whole: whether `added` is all that is resident.
-        added: adapters resident since the digest before.
-        removed: adapters gone since then.
-        spare: requests that the pool's runners have room for.
-        waiting: requests that wait there.
+        pool: name of the pool.
+        epoch: epoch of the owner.
+        number: sequence number among the digests of the owner.
+        is_whole: whether `added` lists all resident adapters.
+        added: adapters that became resident since the previous digest.
+        removed: adapters that stopped being resident since then.
+        spare: number of further requests that the runners can take.
+        waiting: number of waiting requests.
     """
 
     pool: str
@@ -141,7 +174,14 @@
 @register
 @attrs.frozen
 class AskPermit:
-    """Asks the weight store's allocator for permission to load."""
+    """Requests permission for a load from the weight store's allocator.
+
+    Attributes:
+        permit: id of the permit.
+        pool: name of the pool.
+        service: name of the service.
+        urgency: number of requests that wait for the load.
+    """
 
     permit: str
     pool: str
@@ -152,7 +192,12 @@
 @register
 @attrs.frozen
 class GrantPermit:
-    """Allows one load to begin now."""
+    """Allows one load to start now.
+
+    Attributes:
+        permit: id of the permit.
+        pool: name of the pool.
+    """
 
     permit: str
     pool: str
@@ -161,7 +206,12 @@
 @register
 @attrs.frozen
 class ReturnPermit:
-    """Says that a load has ended, or will not begin."""
+    """Returns the permit of a load that has ended or will not start.
+
+    Attributes:
+        permit: id of the permit.
+        service: name of the service.
+    """
 
     permit: str
     service: str
@@ -169,7 +219,12 @@
 
 @attrs.frozen
 class Reply:
-    """An output: an answer to the node that sent an `Admit`."""
+    """Output of an owner: an answer to the node that sent an `Admit`.
+
+    Attributes:
+        node: the incarnation of the entry node.
+        message: a `Granted` or `Refused`.
+    """
 
     node: str
     message: Any
@@ -177,13 +232,23 @@
 
 @attrs.frozen
 class SendOrder:
-    """An output: an order for a runner, under a lease checked just before."""
+    """Output of an owner: an order to send to a runner.
+
+    The sender checks just before that the lease of the owner is still valid.
+
+    Attributes:
+        order: the order.
+    """
 
     order: Order
 
 
 @attrs.frozen
 class ToAllocator:
-    """An output: a message for the weight store's allocator."""
+    """Output of an owner: a message for the weight store's allocator.
+
+    Attributes:
+        message: an `AskPermit` or `ReturnPermit`.
+    """
 
     message: Any
--- a/src/ridgesill/core/pool/owner.py
+++ b/src/ridgesill/core/pool/owner.py
@@ -1,8 +1,9 @@
-"""The decisions of a pool's owner.
+"""The owner of a pool: assigns requests to runners and decides on loads.
 
 One node decides for all runners of a service in a data centre, so slots,
-requests in flight and queues are counted in one place. Messages go in through
-the methods, and what follows from them comes out of `take_output`.
+requests in flight and queues are counted in one place. The owner does no input
+or output: messages are passed to its methods, and `take_output` returns the
+messages to send.
 """
 
 from functools import singledispatchmethod
@@ -40,21 +41,22 @@
 from ridgesill.core.pool.waiting import Waiter
 from ridgesill.core.runners import FENCE, Announcement, Order
 
+# Weight of the newest request in the mean service time.
 _SMOOTHING = 0.05
 
 
 class PoolOwner:
-    """Decides for one pool.
+    """Decides for one pool; all times are in seconds.
 
     Args:
-        pool: its name.
-        service: the service of its runners.
+        pool: name of the pool.
+        service: name of the service that its runners belong to.
         epoch: the fencing number of this ownership.
-        starts_at: from when orders and admissions are allowed; until then
-            an earlier owner's lease may still run.
-        unloads_at: from when unloads are allowed; until then entry nodes may
-            not yet have told which requests they hold here.
-        limits: limits and tunings.
+        starts_at: from when orders and grants are allowed; before that, the
+            lease of an earlier owner may still be valid.
+        unloads_at: from when unloads are allowed; before that, entry nodes may
+            not yet have reported the requests that they hold here.
+        limits: limits and tuning parameters.
         batch_weight: 0 to 1, see `core.configuration.Service`.
     """
 
@@ -94,11 +96,11 @@
 
     @property
     def starts_at(self) -> float:
-        """From when this owner admits and orders, on the clock's seconds."""
+        """From when this owner grants and sends orders, in seconds."""
         return self._state.starts_at
 
     def take_output(self) -> list[Any]:
-        """Returns what has accumulated since the last call."""
+        """Returns the outputs since the last call."""
         output = self._state.output
         self._state.output = []
         return output
@@ -106,7 +108,7 @@
     def build_digest(
         self, receivers: frozenset[str], now: float
     ) -> Digest | None:
-        """Returns what entry nodes should be told now, if anything."""
+        """Returns the digest to send to entry nodes; None if none is due."""
         resident = frozenset(
             adapter
             for runner in self.runners.values()
@@ -122,27 +124,33 @@
         return self._digests.build(resident, spare, waiting, receivers, now)
 
     def entry_nodes(self) -> set[str]:
-        """Returns the entry nodes that have a request here."""
+        """Returns the entry nodes with a waiting or granted request here."""
         waiting = {waiter.admit.node for waiter in self.waiting.all()}
         return waiting | self._pins.nodes
 
     def is_idle(self) -> bool:
-        """Whether no order, request or waiter is left."""
+        """Whether no load, granted request or waiting request is left."""
         return not (len(self._pins) or self._state.loads or len(self.waiting))
 
     def cancel_unordered_loads(self) -> None:
-        """Gives up loads not yet ordered, ahead of a handover."""
+        """Cancels loads that have not been ordered, before a handover."""
         self._loads.cancel_unordered()
 
     def refuse_waiting(self) -> None:
-        """Refuses those who wait, ahead of a handover."""
+        """Refuses all waiting requests, before a handover."""
         for waiter in self.waiting.all():
             self._state.refuse_waiter(waiter, NO_RUNNER, 1.0)
 
     @singledispatchmethod
     def receive(self, message: Any, now: float) -> None:
-        """Takes a message from an entry node, a runner or the allocator."""
-        raise TypeError(f"no pool message: {type(message).__name__}")
+        """Handles a message from an entry node, a runner or the allocator.
+
+        Raises:
+            TypeError: the message is of a type that pools don't handle.
+        """
+        raise TypeError(
+            f"no pool owner handles messages of type {type(message).__name__}"
+        )
 
     # -- admission -----------------------------------------------------
 
@@ -175,7 +183,7 @@
         self._state.refuse_waiter(least, reason, self._estimate_drain_seconds())
 
     def _estimate_wait(self, message: Admit, now: float) -> float:
-        """Estimates the seconds until a request begins."""
+        """Estimates the seconds until a request starts."""
         wait = max(self.starts_at - now, 0.0)
         ready = [
             runner
@@ -209,7 +217,7 @@
     # -- dispatch ------------------------------------------------------
 
     def dispatch(self, now: float) -> None:
-        """Grants what can begin and loads what is missing."""
+        """Grants runners to requests and requests loads of missing adapters."""
         if now < self.starts_at:
             return
         self._placement.begin_pass()
@@ -262,13 +270,13 @@
     def handle_order_result(
         self, order: Order, verdict: str, now: float
     ) -> None:
-        """Takes what became of an order.
+        """Handles the result of an order.
 
         Args:
             order: the order.
             verdict: `done`, `failed` (it certainly had no effect) or
                 `unknown`.
-            now: the clock, in seconds.
+            now: the current time, in seconds.
         """
         if order.action == FENCE:
             self._finish_fence(order, verdict, now)
@@ -289,7 +297,7 @@
             for runner in self.runners.values()
         )
         if is_fenced:
-            # The earlier owner's orders are refused from now on.
+            # All runners now refuse the orders of earlier owners.
             self._state.starts_at = min(self.starts_at, now)
 
     # -- ends of requests ----------------------------------------------
@@ -333,7 +341,10 @@
         self.dispatch(now)
 
     def handle_lost_node(self, node: str) -> None:
-        """Notes that an entry node is gone: runners answer for its requests."""
+        """Drops the waiting requests of a lost entry node.
+
+        Its granted requests may still run; the reports of runners count them.
+        """
         self._pins.handle_lost_node(node)
         for waiter in self.waiting.all():
             if waiter.admit.node == node:
@@ -367,13 +378,13 @@
     def _replace_restarted(
         self, runner: RunnerState, message: Announcement, now: float
     ) -> None:
-        """Notes that a runner restarted: its slots and requests are gone."""
+        """Replaces a restarted runner, which has lost slots and requests."""
         self._pins.end_on_runner(runner.name)
         self._loads.cancel_on_runner(runner.name)
         self.runners[runner.name] = self._make_runner_state(message, now)
 
     def _reconcile(self, runner: RunnerState, now: float) -> None:
-        """Brings what is believed in line with a report, which may lag."""
+        """Reconciles the known slots with a report, which may lag."""
         report = runner.announcement
         for adapter, slot in list(runner.slots.items()):
             if not adapter or now - slot.since <= self.limits.report_lag:
@@ -394,7 +405,7 @@
     # -- time ----------------------------------------------------------
 
     def tick(self, now: float) -> None:
-        """Refuses who can no longer begin in time, and goes on."""
+        """Refuses requests that can't start in time and dispatches others."""
         for waiter in self.waiting.all():
             if now >= waiter.deadline:
                 self._state.refuse_waiter(
@@ -415,7 +426,11 @@
                 self._state.refuse_waiter(waiter, NO_RUNNER, 2.0)
 
     def fence(self) -> None:
-        """Tells every runner this owner's epoch, so that it need not wait."""
+        """Orders every runner to accept only orders of this epoch or later.
+
+        Once all have done so, the owner need not wait for the end of the
+        earlier lease.
+        """
         for runner in self.runners.values():
             is_fenced = runner.fenced_epoch == self.epoch
             if not is_fenced and runner.name not in self._fencing:
--- a/src/ridgesill/core/pool/permits.py
+++ b/src/ridgesill/core/pool/permits.py
@@ -1,4 +1,4 @@
-"""Shares the weight store's rate among the owners of pools."""
+"""Limits the loads from the weight store over all pools by permits."""
 
 import heapq
 import itertools
@@ -7,18 +7,19 @@
 
 from ridgesill.core.pool.messages import AskPermit, GrantPermit
 
+# A permit that isn't returned expires after this time.
 PERMIT_LIFETIME_SECONDS = 15.0
 
 
 @attrs.define
 class PermitAllocator:
-    """A token bucket with a bound on loads at once.
+    """Token bucket that also limits the number of concurrent loads.
 
     Attributes:
-        rate: loads a second.
-        concurrency: loads at once.
-        now: when it begins; it begins empty, since its predecessor may have
-            spent the store's rate just before.
+        rate: loads per second.
+        concurrency: highest number of loads at once, and of stored tokens.
+        refilled_at: when the bucket was last refilled, in seconds. It starts
+            empty, since the previous allocator may have used up the rate.
     """
 
     rate: float
@@ -30,17 +31,17 @@
     _sequence: itertools.count = attrs.Factory(itertools.count)
 
     def enqueue(self, ask: AskPermit) -> None:
-        """Queues a request for a permit; the most urgent goes first."""
+        """Queues a request for a permit; the most urgent one goes first."""
         heapq.heappush(self._queue, (-ask.urgency, next(self._sequence), ask))
 
     def release(self, permit: str) -> None:
-        """Takes a permit back, held or still asked for."""
+        """Releases a granted permit, or removes its request from the queue."""
         if self._granted_at.pop(permit, None) is None:
             self._queue = [a for a in self._queue if a[2].permit != permit]
             heapq.heapify(self._queue)
 
     def grant(self, now: float) -> list[GrantPermit]:
-        """Returns the permits that are free at a time."""
+        """Returns the permits that can be granted at a time, in seconds."""
         self._refill(now)
         self._expire(now)
         grants = []
@@ -56,12 +57,12 @@
 
     def _refill(self, now: float) -> None:
         gained = (now - self.refilled_at) * self.rate
-        # The bucket holds no more than the loads that may run at once.
+        # The bucket holds at most one token per concurrent load.
         self._tokens = min(self._tokens + gained, float(self.concurrency))
         self.refilled_at = now
 
     def _expire(self, now: float) -> None:
-        # An owner that was lost never gives its permits back.
+        # An owner that crashed never returns its permits.
         expired = [
             permit
             for permit, granted_time in self._granted_at.items()
--- a/src/ridgesill/core/pool/pins.py
+++ b/src/ridgesill/core/pool/pins.py
@@ -1,11 +1,11 @@
-"""Pins: which requests use which adapters, and who answers for them."""
+"""Pins: the requests that use adapters, and the entry nodes they came from."""
 
 from ridgesill.core.pool.context import PoolState
 from ridgesill.core.pool.messages import Holding, Pin
 
 
 class Pins:
-    """The requests that were granted a runner of a pool."""
+    """The requests that were granted a runner of a pool, by request id."""
 
     def __init__(self, state: PoolState) -> None:
         self._state = state
@@ -18,26 +18,26 @@
 
     @property
     def nodes(self) -> set[str]:
-        """The entry nodes that have had a grant."""
+        """The entry nodes that were granted a runner."""
         return set(self._by_node)
 
     def get(self, request: str) -> Pin | None:
-        """Returns a request's pin."""
+        """Returns the pin of a request; None if it has none."""
         return self._pins.get(request)
 
     def age(self, request: str, now: float) -> float:
-        """Returns the seconds since a request was granted."""
+        """Returns the seconds since a request was granted its runner."""
         return now - self._pinned_at[request]
 
     def add(self, pin: Pin, node: str, now: float) -> None:
-        """Adds a pin that an entry node answers for."""
+        """Adds a pin that an entry node holds."""
         self._pins[pin.request] = pin
         self._pinned_at[pin.request] = now
         self._by_node.setdefault(node, set()).add(pin.request)
         self._state.runners[pin.runner].pin(pin)
 
     def end(self, request: str) -> None:
-        """Ends a pin."""
+        """Removes the pin of a request."""
         pin = self._pins.pop(request)
         del self._pinned_at[request]
         for held in self._by_node.values():
@@ -47,27 +47,27 @@
             runner.unpin(pin)
 
     def end_on_runner(self, runner: str) -> None:
-        """Ends all pins on a runner that has lost its requests."""
+        """Removes all pins on a runner that has lost its requests."""
         for pin in list(self._pins.values()):
             if pin.runner == runner:
                 self.end(pin.request)
 
     def reconcile(self, message: Holding, now: float) -> None:
-        """Learns what a node holds, and ends what it no longer lists."""
+        """Adds the pins that a node lists and removes those it doesn't."""
         listed = {pin.request for pin in message.pins}
         for pin in message.pins:
             self._add_reported(pin, message.node, now)
         held = self._by_node.get(message.node, set())
         for request in list(held - listed):
-            # A grant may still be on its way to the node that lists its own.
+            # The node may not have received a recent grant yet.
             if self.age(request, now) > self._state.limits.report_lag:
                 self.end(request)
 
     def handle_lost_node(self, node: str) -> None:
-        """Leaves a lost node's pins to the runners' own reports.
+        """Replaces the pins of a lost node by the reports of the runners.
 
-        Its requests may still run, so an adapter stays until its runner
-        reports that nothing runs on it.
+        Its requests may still be running, so an adapter stays loaded until its
+        runner reports no more requests for it.
         """
         for request in self._by_node.pop(node, set()):
             pin = self._pins.pop(request)
--- a/src/ridgesill/core/pool/placement.py
+++ b/src/ridgesill/core/pool/placement.py
@@ -1,19 +1,22 @@
-"""Which runner serves, which one loads, and what leaves for it."""
+"""Chooses runners for requests and loads, and adapters to evict."""
 
 from ridgesill.core.pool.context import PoolState
 from ridgesill.core.pool.messages import Admit
 from ridgesill.core.pool.slots import READY, RunnerState
 from ridgesill.core.pool.waiting import Waiter
 
+# Advantage of a runner whose batch already uses the adapter, as a share of its
+# capacity.
 _SAME_ADAPTER_BONUS = 0.25
+# Rounding step of eviction costs at a batch weight of 1.
 _COST_STEP = 0.5
 
 
 class Placement:
-    """Ranks runners and adapters of a pool.
+    """Ranks the runners and adapters of a pool.
 
-    A pass over the queue begins with `begin_pass`; what is worked out for a
-    runner is kept for the rest of it, unless `forget` says that it changed.
+    `begin_pass` starts a pass over the queue. The eviction cost of a runner is
+    cached for the rest of the pass, unless `invalidate` is called for it.
     """
 
     def __init__(self, state: PoolState) -> None:
@@ -21,15 +24,15 @@
         self._eviction_costs: dict[str, float | None] = {}
 
     def begin_pass(self) -> None:
-        """Forgets what was worked out before."""
+        """Starts a pass over the queue; clears the cached eviction costs."""
         self._eviction_costs.clear()
 
     def invalidate(self, runner: str) -> None:
-        """Notes that a runner has changed within a pass."""
+        """Drops the cached eviction cost of a runner that has changed."""
         self._eviction_costs.pop(runner, None)
 
     def choose_ready(self, admit: Admit, now: float) -> RunnerState | None:
-        """Returns the best runner that can begin a request now."""
+        """Returns the best runner that can start a request now, or None."""
         candidates = [
             runner
             for runner in self._state.runners.values()
@@ -47,20 +50,20 @@
     def _score_runner(
         self, runner: RunnerState, adapter: str
     ) -> tuple[float, str]:
-        """Ranks runners that hold an adapter; the lowest is the best.
+        """Returns a sort key of a runner for an adapter; the lowest is best.
 
         A sequence whose adapter is already in the batch costs less than one
-        that brings another adapter into it.
+        that adds another adapter to it.
         """
         slot = runner.slots.get(adapter)
         bonus = _SAME_ADAPTER_BONUS if slot and slot.pins else 0.0
         return (self._fill_score(runner) - bonus, runner.name)
 
     def _fill_score(self, runner: RunnerState) -> float:
-        """Ranks runners by how full they are.
+        """Returns a score of how full a runner is; the lowest is best.
 
-        For stalls and first tokens the emptiest is the best; for batches the
-        fullest, whose next step costs the least for one more sequence.
+        For stalls and the time to the first token, the emptiest runner is best;
+        for batch throughput the fullest, where one more sequence costs least.
         """
         share = runner.in_flight / max(runner.announcement.capacity, 1)
         return share * (1.0 - 2.0 * self._state.batch_weight)
@@ -68,7 +71,7 @@
     def needs_copy(
         self, group: list[Waiter], holders: list[RunnerState], now: float
     ) -> bool:
-        """Whether those who wait are worth another copy of a hot adapter."""
+        """Whether enough requests wait to load another copy of an adapter."""
         others = [r for r in self._state.runners.values() if r not in holders]
         spare = sum(
             r.announcement.capacity - r.in_flight
@@ -83,7 +86,7 @@
     def choose_target(
         self, adapter: str, holders: list[RunnerState], now: float
     ) -> RunnerState | None:
-        """Returns the runner whose worst adapter is worth the least."""
+        """Returns the runner with the lowest eviction cost for a load."""
         best: tuple[float, float, str] | None = None
         chosen = None
         for runner in self._state.runners.values():
@@ -102,7 +105,10 @@
         return chosen
 
     def _coarsen(self, cost: float) -> float:
-        """Returns a worth, the coarser the more that batches count."""
+        """Rounds a cost down, to larger steps with a higher batch weight.
+
+        Runners with equal rounded costs are ranked by how full they are.
+        """
         step = _COST_STEP * self._state.batch_weight
         return cost // step if step else cost
 
@@ -115,10 +121,11 @@
         )
 
     def _eviction_cost(self, runner: RunnerState, now: float) -> float | None:
-        """Returns the worth of what a load would displace; None if nothing.
+        """Returns the value of the adapter that a load would evict.
 
-        It is kept for the rest of a pass over the queue, unless the runner
-        changes in it.
+        Returns:
+            0 if a slot is free, None if no adapter may be evicted. The result
+            is cached for the rest of the pass.
         """
         if runner.name not in self._eviction_costs:
             self._eviction_costs[runner.name] = self._compute_eviction_cost(
@@ -142,7 +149,7 @@
         return self._adapter_value(victim, now)
 
     def choose_victim(self, runner: RunnerState, now: float) -> str | None:
-        """Returns the adapter to unload first; None if none may be."""
+        """Returns the adapter to unload first; None if none may be unloaded."""
         if now < self._state.unloads_at:
             return None
         candidates = [
--- a/src/ridgesill/core/pool/popularity.py
+++ b/src/ridgesill/core/pool/popularity.py
@@ -1,21 +1,22 @@
-"""Request frequencies that halve with time, by adapter."""
+"""Exponentially decayed request frequencies by adapter."""
 
 import heapq
 import math
 
+# Lowest count of an adapter that is kept, and the number of recorded requests
+# after which others are removed.
 _MIN_COUNT = 0.01
 _PRUNE_EVERY_RECORDS = 4096
 
 
 class Popularity:
-    """Counts requests, each worth half as much after every half-life.
+    """Counts requests; each count halves in every half-life.
 
-    Decayed frequency, not recency, decides what stays loaded: over the same
-    slots it misses a fifth less often than least recently used
-    (docs/design/placement.md).
+    Adapters are evicted by decayed frequency, not by recency: with the same
+    slots, this has a fifth fewer misses than least recently used.
 
     Args:
-        half_life: in seconds.
+        half_life: half-life of a count, in seconds.
     """
 
     def __init__(self, half_life: float) -> None:
@@ -24,7 +25,7 @@
         self._records = 0
 
     def record(self, adapter: str, now: float) -> None:
-        """Counts a request."""
+        """Counts a request for an adapter."""
         self._counts[adapter] = (self.value(adapter, now) + 1.0, now)
         self._records += 1
         if self._records % _PRUNE_EVERY_RECORDS == 0:
@@ -36,7 +37,7 @@
         return count * math.exp((counted_at - now) * self._rate)
 
     def top(self, limit: int, now: float) -> list[tuple[str, float]]:
-        """Returns the most wanted adapters with their counts, falling."""
+        """Returns the most popular adapters with their counts, descending."""
         valued = ((name, self.value(name, now)) for name in self._counts)
         return heapq.nlargest(limit, valued, key=lambda item: item[1])
 
--- a/src/ridgesill/core/pool/slots.py
+++ b/src/ridgesill/core/pool/slots.py
@@ -1,4 +1,4 @@
-"""What a pool's owner knows of one runner: slots, pins and health."""
+"""The state of one runner: its slots, pins and health."""
 
 import attrs
 
@@ -10,6 +10,8 @@
 UNLOADING = "unloading"
 SUSPECT = "suspect"
 
+# Failures in a row that eject a runner. The ejection doubles with each further
+# failure.
 _EJECT_AFTER_FAILURES = 3
 _FIRST_EJECTION_SECONDS = 2.0
 _MAX_EJECTION_SECONDS = 60.0
@@ -20,11 +22,11 @@
     """An adapter on a runner.
 
     Attributes:
-        state: `loading`, `ready`, `unloading`, or `suspect` when an order's
-            fate is unknown and only the runner's own report can tell.
-        since: when it entered that state.
-        pins: requests that use it, by id.
-        reported: requests that the runner says it works on.
+        state: `loading`, `ready`, `unloading`, or `suspect` if the result of an
+            order is unknown and only a report of the runner can show it.
+        since: when it entered the state, in seconds.
+        pins: the granted requests that use it, by id.
+        reported: number of requests that the runner reports beyond the pins.
     """
 
     state: str
@@ -34,22 +36,29 @@
 
     @property
     def is_pinned(self) -> bool:
-        """Whether a request uses it or may still use it."""
+        """Whether a request uses the adapter or may still use it."""
         return bool(self.pins) or self.reported > 0
 
     def enter(self, state: str, now: float) -> None:
-        """Enters a state."""
+        """Enters a state at a time, in seconds."""
         self.state = state
         self.since = now
 
 
 @attrs.define
 class RunnerState:
-    """A runner as its owner sees it.
+    """A runner as the pool owner sees it; all times are in seconds.
 
     Attributes:
-        dropped: when adapters were unloaded; a report that lags still lists
-            them.
+        announcement: the last announcement.
+        announced_at: when it arrived.
+        slots: the adapters on the runner, by name.
+        in_flight: number of granted requests.
+        failures: failed requests in a row.
+        ejected_until: when the current or last ejection ends.
+        fenced_epoch: the last epoch that the runner was fenced to.
+        removed_at: when adapters were unloaded, by name; a report that lags
+            still lists them.
     """
 
     announcement: Announcement
@@ -63,11 +72,14 @@
 
     @property
     def name(self) -> str:
-        """The runner's name."""
+        """Name of the runner."""
         return self.announcement.name
 
     def has_room(self, now: float) -> bool:
-        """Whether it may be given one more request."""
+        """Whether the runner may be granted another request.
+
+        After an ejection, only one request at a time until one succeeds.
+        """
         if self.announcement.leaving or now < self.ejected_until:
             return False
         limit = (
@@ -78,14 +90,14 @@
         return self.in_flight < limit
 
     def is_ready(self, adapter: str) -> bool:
-        """Whether it holds an adapter (plain services hold the empty one)."""
+        """Whether an adapter is ready; always if the name is empty (plain)."""
         if not adapter:
             return True
         slot = self.slots.get(adapter)
         return slot is not None and slot.state == READY
 
     def pin(self, pin: Pin) -> None:
-        """Adds a request."""
+        """Adds a granted request to the slot of its adapter."""
         slot = self.slots.get(pin.adapter)
         if slot is None:
             slot = Slot(READY, self.announced_at)
@@ -94,18 +106,24 @@
         self.in_flight += 1
 
     def unpin(self, pin: Pin) -> None:
-        """Ends a request, if it was there."""
+        """Removes a granted request, if the runner has it."""
         slot = self.slots.get(pin.adapter)
         if slot and slot.pins.pop(pin.request, None):
             self.in_flight -= 1
 
     def remove_adapter(self, adapter: str, now: float) -> None:
-        """Notes that an adapter is no longer there."""
+        """Removes an adapter that is no longer on the runner."""
         self.slots.pop(adapter, None)
         self.removed_at[adapter] = now
 
     def add_reported(self, now: float, lag: float) -> None:
-        """Takes the adapters that a report lists, but not those that left."""
+        """Adds the adapters that the last report lists.
+
+        Args:
+            now: the current time, in seconds.
+            lag: seconds by which a report may lag; adapters that were removed
+                since then aren't added again.
+        """
         self.removed_at = {
             name: removed_time
             for name, removed_time in self.removed_at.items()
@@ -116,12 +134,12 @@
                 self.slots[adapter] = Slot(READY, now)
 
     def free_slots(self) -> int:
-        """Returns how many slots hold nothing."""
+        """Returns the number of free slots."""
         held = sum(1 for adapter in self.slots if adapter)
         return self.announcement.slots - held
 
     def record_failure(self, now: float) -> None:
-        """Counts a failed request; too many in a row eject the runner."""
+        """Records a failed request; 3 in a row eject the runner."""
         self.failures += 1
         if self.failures >= _EJECT_AFTER_FAILURES:
             doublings = min(self.failures - _EJECT_AFTER_FAILURES, 5)
@@ -131,5 +149,5 @@
             self.ejected_until = now + pause
 
     def record_success(self) -> None:
-        """Ends a run of failures."""
+        """Records a successful request, which resets the failure count."""
         self.failures = 0
--- a/src/ridgesill/core/pool/waiting.py
+++ b/src/ridgesill/core/pool/waiting.py
@@ -1,4 +1,4 @@
-"""Admitted requests that wait for a runner, fair between teams."""
+"""Queue of the requests that wait for a runner, fair between teams."""
 
 import attrs
 
@@ -10,8 +10,11 @@
     """A waiting request.
 
     Attributes:
-        start: its team's virtual time; fair queueing serves the lowest.
-        stalled: whether it has had to wait for a load.
+        admit: the request for admission.
+        arrived_at: when it arrived, in seconds.
+        virtual_start: virtual start time; fair queueing serves the lowest.
+        is_stalled: whether it has had to wait for a load.
+        missing_since: when it started to wait for a load, in seconds.
     """
 
     admit: Admit
@@ -22,20 +25,20 @@
 
     @property
     def deadline(self) -> float:
-        """The time by which it must have begun."""
+        """The time by which the request must have started, in seconds."""
         return self.arrived_at + self.admit.patience
 
     @property
     def order(self) -> tuple[int, float, float]:
-        """Sorts waiters: the more important, then the fairer, first."""
+        """Sort key: by priority, then by virtual start, then by arrival."""
         return (self.admit.priority, self.virtual_start, self.arrived_at)
 
 
 class WaitingQueue:
     """Start-time fair queueing over teams, grouped by adapter.
 
-    A team's request starts at its own virtual time, which moves on by the
-    inverse of its weight, so that a burst of one team queues behind itself.
+    Each request of a team advances the team's virtual time by the inverse of
+    its weight, so a burst of one team doesn't delay other teams.
     """
 
     def __init__(self) -> None:
@@ -48,7 +51,7 @@
         return self._count
 
     def add(self, admit: Admit, now: float) -> Waiter:
-        """Adds a request."""
+        """Adds a request to the queue."""
         start = max(self._virtual_time, self._finish_times.get(admit.team, 0.0))
         self._finish_times[admit.team] = start + 1.0 / max(admit.weight, 0.01)
         waiter = Waiter(admit, now, start)
@@ -59,7 +62,7 @@
         return waiter
 
     def remove(self, waiter: Waiter) -> None:
-        """Takes a request out, served or not."""
+        """Removes a request, whether it is served or not."""
         group = self._groups[waiter.admit.adapter]
         group.remove(waiter)
         self._count -= 1
@@ -70,31 +73,31 @@
             self._virtual_time = 0.0
 
     def serve(self, waiter: Waiter) -> None:
-        """Takes a request out to be served, which moves virtual time."""
+        """Removes a request to be served and advances the virtual time."""
         self._virtual_time = max(self._virtual_time, waiter.virtual_start)
         self.remove(waiter)
 
     def groups(self) -> list[list[Waiter]]:
-        """Returns the groups, the one with the first to serve first."""
+        """Returns the groups in the order of their first requests."""
         return sorted(self._groups.values(), key=lambda g: g[0].order)
 
     def group(self, adapter: str) -> list[Waiter]:
-        """Returns those who wait for an adapter."""
+        """Returns the requests that wait for an adapter, in order."""
         return self._groups.get(adapter, [])
 
     def all(self) -> list[Waiter]:
-        """Returns all waiters."""
+        """Returns all waiting requests."""
         return [w for group in self._groups.values() for w in group]
 
     def find(self, request: str) -> Waiter | None:
-        """Returns the waiter of a request."""
+        """Returns the waiting request with an id; None if it isn't waiting."""
         for waiter in self.all():
             if waiter.admit.request == request:
                 return waiter
         return None
 
     def find_least_important(self) -> Waiter | None:
-        """Returns the waiter to shed first: the last to be served."""
+        """Returns the request that would be served last, to shed it first."""
         return max(self.all(), key=_sort_key, default=None)
 
 
--- a/src/ridgesill/core/serving/choice.py
+++ b/src/ridgesill/core/serving/choice.py
@@ -110,7 +110,7 @@
             self._in_progress.pop(upstream, None)
 
     def report_busy(self) -> dict[str, dict[str, int]]:
-        """Returns the requests in progress from here, to report to the owner.
+        """Returns this front's requests in progress, to report to the owner.
 
         Returns:
             The number of requests by upstream and artifact.
--- a/src/ridgesill/core/serving/front_limits.py
+++ b/src/ridgesill/core/serving/front_limits.py
@@ -56,7 +56,7 @@
         }
 
     def allowed_rate(self, upstream: str, now: float) -> float | None:
-        """Returns the requests per second an upstream may get; None if any."""
+        """Returns the allowed requests per second; None if unlimited."""
         return self.known.rate(upstream, now) if self.known else None
 
     def count(self) -> int:
--- a/src/ridgesill/core/serving/limits.py
+++ b/src/ridgesill/core/serving/limits.py
@@ -21,7 +21,7 @@
 _CLOCK_MARGIN_SECONDS = 0.05
 # Burst beyond the rate, in requests and in seconds of the rate: at low rates
 # requests arrive unevenly.
-_MIN_BURST_REQUESTS = 2.0
+_BURST_LEAST = 2.0
 _BURST_SECONDS = 0.5
 
 
@@ -50,7 +50,7 @@
 class _KnownLimit:
     rate: float
     heard_by: str
-    since: float
+    first_named_at: float
     named_at: float
     lifted_at: float | None = None
 
@@ -64,7 +64,7 @@
 
 def make_quota(rate: float) -> Quota:
     """Returns the quota that keeps to a limit in requests per second."""
-    return Quota(rate, _MIN_BURST_REQUESTS + _BURST_SECONDS * rate)
+    return Quota(rate, _BURST_LEAST + _BURST_SECONDS * rate)
 
 
 class UpstreamLimits:
@@ -95,7 +95,7 @@
             if rate > known.rate and not is_later:
                 return
         is_new = known is None or known.lifted_at is not None
-        since = now if known is None or is_new else known.since
+        since = now if known is None or is_new else known.first_named_at
         self._known[upstream] = _KnownLimit(rate, by, since, now)
 
     def record_unlimited(self, upstream: str, sent_at: float) -> None:
@@ -138,7 +138,7 @@
             upstream: NamedLimit(
                 known.rate,
                 known.heard_by,
-                now - known.since,
+                now - known.first_named_at,
                 now - known.named_at,
                 -1.0 if known.lifted_at is None else now - known.lifted_at,
             )
@@ -146,7 +146,7 @@
         }
 
     def rate(self, upstream: str, now: float) -> float | None:
-        """Returns the requests per second an upstream may get; None if any."""
+        """Returns the allowed requests per second; None if unlimited."""
         known = self._known.get(upstream)
         if known is None or known.lifted_at is None:
             return None if known is None else known.rate
--- a/src/ridgesill/core/serving/rates.py
+++ b/src/ridgesill/core/serving/rates.py
@@ -185,23 +185,23 @@
         self._mean_weights: dict[str, _MeanWeight] = {}
 
     def apply_news(
-        self, states: Mapping[str, RateState], fronts: int, told_at: float
+        self, states: Mapping[str, RateState], fronts: int, sent_at: float
     ) -> None:
         """Applies an update from the owner.
 
         Args:
             states: states of the rates that are nearly used up.
             fronts: number of fronts.
-            told_at: when the owner sent the update, in seconds on this front's
+            sent_at: when the owner sent the update, in seconds on this front's
                 clock.
         """
         self._states = states
         self._fronts = max(fronts, 1)
-        self._news_at = told_at
+        self._news_at = sent_at
         for name in self._mean_weights.keys() - states.keys():
             del self._mean_weights[name]
         for name in list(self._buckets):
-            if not self._decides_locally(name, told_at):
+            if not self._decides_locally(name, sent_at):
                 del self._buckets[name]
 
     def update_front_count(self, fronts: int) -> None:
--- a/testing/core/serving/test_fingerprints.py
+++ b/testing/core/serving/test_fingerprints.py
@@ -1,4 +1,4 @@
-"""Tests of what tells a repeated request."""
+"""Tests of the fingerprints that identify repeated requests."""
 
 import attrs
 import pytest
@@ -9,7 +9,7 @@
 
 
 class TestFingerprints:
-    def test_a_repeated_request_has_the_same(self) -> None:
+    def test_a_repeated_request_has_the_same_fingerprint(self) -> None:
         first = Fingerprinter(b"key").compute(IDENTITY)
         assert Fingerprinter(b"key").compute(attrs.evolve(IDENTITY)) == first
 
@@ -24,18 +24,21 @@
             {"host": "a.exampl", "target": b"e/ask/x?y=1"},
         ],
     )
-    def test_any_difference_shows(self, other: dict[str, object]) -> None:
-        fingerprints = Fingerprinter(b"key")
+    def test_a_change_of_any_part_changes_the_fingerprint(
+        self, other: dict[str, object]
+    ) -> None:
+        fingerprinter = Fingerprinter(b"key")
         changed = attrs.evolve(IDENTITY, **other)
-        assert fingerprints.compute(changed) != fingerprints.compute(IDENTITY)
+        assert fingerprinter.compute(changed) != fingerprinter.compute(IDENTITY)
 
-    def test_it_begins_with_the_hash_of_the_target(self) -> None:
-        fingerprints = Fingerprinter(b"key")
-        taken = fingerprints.compute(IDENTITY)
-        assert taken.target == fingerprints.hash_target(IDENTITY.target)
+    def test_it_contains_the_target_hash(self) -> None:
+        fingerprinter = Fingerprinter(b"key")
+        fingerprint = fingerprinter.compute(IDENTITY)
+        assert fingerprint.target == fingerprinter.hash_target(IDENTITY.target)
 
-    def test_another_key_makes_another(self) -> None:
-        taken = Fingerprinter(b"key").compute(IDENTITY)
+    def test_another_key_gives_another_fingerprint(self) -> None:
+        fingerprint = Fingerprinter(b"key").compute(IDENTITY)
         assert (
-            Fingerprinter(b"other").compute(IDENTITY).content != taken.content
+            Fingerprinter(b"other").compute(IDENTITY).content
+            != fingerprint.content
         )
