--- a/src/ridgesill/core/pool/owner.py
+++ b/src/ridgesill/core/pool/owner.py
@@ -1,8 +1,9 @@
-"""The decisions of a pool's owner.
+"""The owner of a pool: assigns requests to runners and decides on loads.
 
 One node decides for all runners of a service in a data centre, so slots,
-requests in flight and queues are counted in one place. Messages go in through
-the methods, and what follows from them comes out of `take_output`.
+requests in flight and queues are counted in one place. The owner does no input
+or output: messages are passed to its methods, and `take_output` returns the
+messages to send.
 """
 
 from functools import singledispatchmethod
@@ -40,21 +41,22 @@
 from ridgesill.core.pool.waiting import Waiter
 from ridgesill.core.runners import FENCE, Announcement, Order
 
+# Weight of the newest request in the mean service time.
 _SMOOTHING = 0.05
 
 
 class PoolOwner:
-    """Decides for one pool.
+    """Decides for one pool; all times are in seconds.
 
     Args:
-        pool: its name.
-        service: the service of its runners.
+        pool: name of the pool.
+        service: name of the service that its runners belong to.
         epoch: the fencing number of this ownership.
-        starts_at: from when orders and admissions are allowed; until then
-            an earlier owner's lease may still run.
-        unloads_at: from when unloads are allowed; until then entry nodes may
-            not yet have told which requests they hold here.
-        limits: limits and tunings.
+        starts_at: from when orders and grants are allowed; before that, the
+            lease of an earlier owner may still be valid.
+        unloads_at: from when unloads are allowed; before that, entry nodes may
+            not yet have reported the requests that they hold here.
+        limits: limits and tuning parameters.
         batch_weight: 0 to 1, see `core.configuration.Service`.
     """
 
@@ -69,7 +71,7 @@
         unloads_at: float = float("-inf"),
     ) -> None:
         limits = limits or PoolLimits()
-        self._context = PoolState(
+        self._state = PoolState(
             pool,
             service,
             epoch,
@@ -83,30 +85,30 @@
         self.service = service
         self.epoch = epoch
         self.limits = limits
-        self.runners = self._context.runners
-        self.waiting = self._context.waiting
-        self._placement = Placement(self._context)
-        self._loads = Loads(self._context, self._placement)
-        self._pins = Pins(self._context)
+        self.runners = self._state.runners
+        self.waiting = self._state.waiting
+        self._placement = Placement(self._state)
+        self._loads = Loads(self._state, self._placement)
+        self._pins = Pins(self._state)
         self._digests = DigestBuilder(pool, epoch)
         self._fencing: set[str] = set()
-        self._service_seconds = 1.0
+        self._mean_service_seconds = 1.0
 
     @property
     def starts_at(self) -> float:
-        """From when this owner admits and orders, on the clock's seconds."""
-        return self._context.starts_at
+        """From when this owner grants and sends orders, in seconds."""
+        return self._state.starts_at
 
     def take_output(self) -> list[Any]:
-        """Returns what has accumulated since the last call."""
-        output = self._context.output
-        self._context.output = []
+        """Returns the outputs since the last call."""
+        output = self._state.output
+        self._state.output = []
         return output
 
     def build_digest(
         self, receivers: frozenset[str], now: float
     ) -> Digest | None:
-        """Returns what entry nodes should be told now, if anything."""
+        """Returns the digest to send to entry nodes; None if none is due."""
         resident = frozenset(
             adapter
             for runner in self.runners.values()
@@ -122,61 +124,66 @@
         return self._digests.build(resident, spare, waiting, receivers, now)
 
     def entry_nodes(self) -> set[str]:
-        """Returns the entry nodes that have a request here."""
+        """Returns the entry nodes with a waiting or granted request here."""
         waiting = {waiter.admit.node for waiter in self.waiting.all()}
         return waiting | self._pins.nodes
 
     def is_idle(self) -> bool:
-        """Whether no order, request or waiter is left."""
-        return not (len(self._pins) or self._context.loads or len(self.waiting))
+        """Whether no load, granted request or waiting request is left."""
+        return not (len(self._pins) or self._state.loads or len(self.waiting))
 
     def cancel_unordered_loads(self) -> None:
-        """Gives up loads not yet ordered, ahead of a handover."""
+        """Cancels loads that have not been ordered, before a handover."""
         self._loads.cancel_unordered()
 
     def refuse_waiting(self) -> None:
-        """Refuses those who wait, ahead of a handover."""
+        """Refuses all waiting requests, before a handover."""
         for waiter in self.waiting.all():
-            self._context.refuse_waiter(waiter, NO_RUNNER, 1.0)
+            self._state.refuse_waiter(waiter, NO_RUNNER, 1.0)
 
     @singledispatchmethod
     def receive(self, message: Any, now: float) -> None:
-        """Takes a message from an entry node, a runner or the allocator."""
-        raise TypeError(f"no pool message: {type(message).__name__}")
+        """Handles a message from an entry node, a runner or the allocator.
+
+        Raises:
+            TypeError: the message is of a type that pools don't handle.
+        """
+        raise TypeError(
+            f"no pool owner handles messages of type {type(message).__name__}"
+        )
 
     # -- admission -----------------------------------------------------
 
     @receive.register
     def _(self, message: Admit, now: float) -> None:
-        self._context.popularity.record(message.adapter, now)
-        if not self._usable(message, now):
-            self._context.refuse_request(message, NO_RUNNER, 2.0)
+        self._state.popularity.record(message.adapter, now)
+        if not self._has_live_runner(message, now):
+            self._state.refuse_request(message, NO_RUNNER, 2.0)
             return
-        wait = self._expected_wait(message, now)
+        wait = self._estimate_wait(message, now)
         if wait > message.patience:
-            self._context.refuse_request(message, TOO_LATE, wait)
+            self._state.refuse_request(message, TOO_LATE, wait)
             return
         waiter = self.waiting.add(message, now)
         if len(self.waiting) > self.limits.queue:
-            self._shed(waiter, now)
+            self._shed_least_important(waiter, now)
         self.dispatch(now)
 
-    def _usable(self, message: Admit, now: float) -> bool:
+    def _has_live_runner(self, message: Admit, now: float) -> bool:
         return any(
-            not runner.announcement.leaving
-            and self._context.is_live(runner, now)
+            not runner.announcement.leaving and self._state.is_live(runner, now)
             for runner in self.runners.values()
         )
 
-    def _shed(self, newest: Waiter, now: float) -> None:
+    def _shed_least_important(self, newest: Waiter, now: float) -> None:
         least = self.waiting.find_least_important()
         if least is None:
             return
         reason = QUEUE_FULL if least is newest else SHED
-        self._context.refuse_waiter(least, reason, self._drain_seconds())
+        self._state.refuse_waiter(least, reason, self._estimate_drain_seconds())
 
-    def _expected_wait(self, message: Admit, now: float) -> float:
-        """Estimates the seconds until a request begins."""
+    def _estimate_wait(self, message: Admit, now: float) -> float:
+        """Estimates the seconds until a request starts."""
         wait = max(self.starts_at - now, 0.0)
         ready = [
             runner
@@ -185,12 +192,12 @@
         ]
         if any(runner.has_room(now) for runner in ready):
             return wait
-        wait += self._queue_seconds(message)
+        wait += self._estimate_queue_seconds(message)
         if not ready and message.adapter:
             wait += self._loads.seconds
         return wait
 
-    def _queue_seconds(self, message: Admit) -> float:
+    def _estimate_queue_seconds(self, message: Admit) -> float:
         capacity = sum(r.announcement.capacity for r in self.runners.values())
         spare = capacity - len(self._pins)
         if spare > 0:
@@ -200,17 +207,17 @@
             for waiter in self.waiting.all()
             if waiter.admit.priority <= message.priority
         )
-        return (ahead + 1) * self._service_seconds / max(capacity, 1)
+        return (ahead + 1) * self._mean_service_seconds / max(capacity, 1)
 
-    def _drain_seconds(self) -> float:
+    def _estimate_drain_seconds(self) -> float:
         capacity = sum(r.announcement.capacity for r in self.runners.values())
         waiting = len(self.waiting) + 1
-        return max(waiting * self._service_seconds / max(capacity, 1), 0.5)
+        return max(waiting * self._mean_service_seconds / max(capacity, 1), 0.5)
 
     # -- dispatch ------------------------------------------------------
 
     def dispatch(self, now: float) -> None:
-        """Grants what can begin and loads what is missing."""
+        """Grants runners to requests and requests loads of missing adapters."""
         if now < self.starts_at:
             return
         self._placement.begin_pass()
@@ -231,7 +238,7 @@
 
     def _grant(self, waiter: Waiter, runner: RunnerState, now: float) -> None:
         admit = waiter.admit
-        self._placement.forget(runner.name)
+        self._placement.invalidate(runner.name)
         self.waiting.serve(waiter)
         pin = Pin(
             admit.request,
@@ -241,17 +248,17 @@
             admit.team,
         )
         self._pins.add(pin, admit.node, now)
-        waited = now - waiter.arrived
+        waited = now - waiter.arrived_at
         granted = Granted(
             admit.request,
             runner.name,
             runner.announcement.address,
             runner.announcement.incarnation,
             waited,
-            now - waiter.missing_since if waiter.stalled else 0.0,
+            now - waiter.missing_since if waiter.is_stalled else 0.0,
             runner.in_flight,
         )
-        self._context.output.append(Reply(admit.node, granted))
+        self._state.output.append(Reply(admit.node, granted))
 
     # -- orders --------------------------------------------------------
 
@@ -263,13 +270,13 @@
     def handle_order_result(
         self, order: Order, verdict: str, now: float
     ) -> None:
-        """Takes what became of an order.
+        """Handles the result of an order.
 
         Args:
             order: the order.
             verdict: `done`, `failed` (it certainly had no effect) or
                 `unknown`.
-            now: the clock, in seconds.
+            now: the current time, in seconds.
         """
         if order.action == FENCE:
             self._finish_fence(order, verdict, now)
@@ -282,16 +289,16 @@
         runner = self.runners.get(order.runner)
         if runner is not None and verdict == "done":
             runner.fenced_epoch = self.epoch
-            self._note_fenced(now)
+            self._start_once_all_fenced(now)
 
-    def _note_fenced(self, now: float) -> None:
-        fenced = all(
+    def _start_once_all_fenced(self, now: float) -> None:
+        is_fenced = all(
             runner.fenced_epoch == self.epoch
             for runner in self.runners.values()
         )
-        if fenced:
-            # The earlier owner's orders are refused from now on.
-            self._context.starts_at = min(self.starts_at, now)
+        if is_fenced:
+            # All runners now refuse the orders of earlier owners.
+            self._state.starts_at = min(self.starts_at, now)
 
     # -- ends of requests ----------------------------------------------
 
@@ -299,19 +306,19 @@
     def _(self, message: Finished, now: float) -> None:
         pin = self._pins.get(message.request)
         if pin is None:
-            self._forget_waiter(message.request)
+            self._remove_waiter(message.request)
             return
-        took = self._pins.age(message.request, now)
+        service_seconds = self._pins.age(message.request, now)
         runner = self.runners.get(pin.runner)
         self._pins.end(message.request)
         if runner is not None:
-            self._note_verdict(runner, pin, message.verdict, now)
+            self._apply_verdict(runner, pin, message.verdict, now)
         if message.verdict not in (FAILED, ABSENT):
-            change = took - self._service_seconds
-            self._service_seconds += _SMOOTHING * change
+            change = service_seconds - self._mean_service_seconds
+            self._mean_service_seconds += _SMOOTHING * change
         self.dispatch(now)
 
-    def _note_verdict(
+    def _apply_verdict(
         self, runner: RunnerState, pin: Pin, verdict: str, now: float
     ) -> None:
         if verdict == FAILED:
@@ -323,7 +330,7 @@
         else:
             runner.record_success()
 
-    def _forget_waiter(self, request: str) -> None:
+    def _remove_waiter(self, request: str) -> None:
         waiter = self.waiting.find(request)
         if waiter is not None:
             self.waiting.remove(waiter)
@@ -334,7 +341,10 @@
         self.dispatch(now)
 
     def handle_lost_node(self, node: str) -> None:
-        """Notes that an entry node is gone: runners answer for its requests."""
+        """Drops the waiting requests of a lost entry node.
+
+        Its granted requests may still run; the reports of runners count them.
+        """
         self._pins.handle_lost_node(node)
         for waiter in self.waiting.all():
             if waiter.admit.node == node:
@@ -346,16 +356,18 @@
     def _(self, message: Announcement, now: float) -> None:
         runner = self.runners.get(message.name)
         if runner is None:
-            self.runners[message.name] = self._meet(message, now)
+            self.runners[message.name] = self._make_runner_state(message, now)
         elif runner.announcement.incarnation != message.incarnation:
-            self._replace(runner, message, now)
+            self._replace_restarted(runner, message, now)
         elif message.sequence >= runner.announcement.sequence:
             runner.announcement = message
             runner.announced_at = now
             self._reconcile(runner, now)
         self.dispatch(now)
 
-    def _meet(self, message: Announcement, now: float) -> RunnerState:
+    def _make_runner_state(
+        self, message: Announcement, now: float
+    ) -> RunnerState:
         runner = RunnerState(message, now)
         for adapter in message.resident:
             slot = Slot(READY, now)
@@ -363,58 +375,64 @@
             runner.slots[adapter] = slot
         return runner
 
-    def _replace(
+    def _replace_restarted(
         self, runner: RunnerState, message: Announcement, now: float
     ) -> None:
-        """Notes that a runner restarted: its slots and requests are gone."""
+        """Replaces a restarted runner, which has lost slots and requests."""
         self._pins.end_on_runner(runner.name)
         self._loads.cancel_on_runner(runner.name)
-        self.runners[runner.name] = self._meet(message, now)
+        self.runners[runner.name] = self._make_runner_state(message, now)
 
     def _reconcile(self, runner: RunnerState, now: float) -> None:
-        """Brings what is believed in line with a report, which may lag."""
-        said = runner.announcement
+        """Reconciles the known slots with a report, which may lag."""
+        report = runner.announcement
         for adapter, slot in list(runner.slots.items()):
             if not adapter or now - slot.since <= self.limits.report_lag:
                 continue
-            slot.reported = self._unexplained(slot, said.active.get(adapter, 0))
-            if adapter in said.resident:
+            slot.reported = self._count_unexplained(
+                slot, report.active.get(adapter, 0)
+            )
+            if adapter in report.resident:
                 if slot.state == SUSPECT:
                     slot.state = READY
             elif slot.state in (READY, SUSPECT) and not slot.is_pinned:
                 del runner.slots[adapter]
         runner.add_reported(now, self.limits.report_lag)
 
-    def _unexplained(self, slot: Slot, active: int) -> int:
+    def _count_unexplained(self, slot: Slot, active: int) -> int:
         return max(active - len(slot.pins), 0)
 
     # -- time ----------------------------------------------------------
 
     def tick(self, now: float) -> None:
-        """Refuses who can no longer begin in time, and goes on."""
+        """Refuses requests that can't start in time and dispatches others."""
         for waiter in self.waiting.all():
             if now >= waiter.deadline:
-                self._context.refuse_waiter(
-                    waiter, TOO_LATE, self._drain_seconds()
+                self._state.refuse_waiter(
+                    waiter, TOO_LATE, self._estimate_drain_seconds()
                 )
         self._loads.tick(now)
-        self._forget_silent(now)
+        self._prune_silent_runners(now)
         self.dispatch(now)
 
-    def _forget_silent(self, now: float) -> None:
+    def _prune_silent_runners(self, now: float) -> None:
         for runner in list(self.runners.values()):
-            silent = now - runner.announced_at
-            gone = silent > 10 * self.limits.announce_patience
-            if gone and not runner.in_flight:
+            silent_seconds = now - runner.announced_at
+            is_gone = silent_seconds > 10 * self.limits.announce_patience
+            if is_gone and not runner.in_flight:
                 del self.runners[runner.name]
         if not self.runners:
             for waiter in self.waiting.all():
-                self._context.refuse_waiter(waiter, NO_RUNNER, 2.0)
+                self._state.refuse_waiter(waiter, NO_RUNNER, 2.0)
 
     def fence(self) -> None:
-        """Tells every runner this owner's epoch, so that it need not wait."""
+        """Orders every runner to accept only orders of this epoch or later.
+
+        Once all have done so, the owner need not wait for the end of the
+        earlier lease.
+        """
         for runner in self.runners.values():
-            fenced = runner.fenced_epoch == self.epoch
-            if not fenced and runner.name not in self._fencing:
+            is_fenced = runner.fenced_epoch == self.epoch
+            if not is_fenced and runner.name not in self._fencing:
                 self._fencing.add(runner.name)
                 self._loads.order(FENCE, runner, "")
