--- a/src/ridgesill/core/state.py
+++ b/src/ridgesill/core/state.py
@@ -76,7 +76,7 @@
 @codec.register
 @attrs.frozen
 class StateImage:
-    """The whole state, as stored in snapshots; the fields are `State`'s."""
+    """The whole state, as stored in snapshots; see `State` for its fields."""
 
     index: int
     version: int
--- a/src/ridgesill/core/suspects.py
+++ b/src/ridgesill/core/suspects.py
@@ -115,7 +115,10 @@
         self._prune_oldest()
 
     def clear(self, served: Iterable[Fingerprint]) -> None:
-        """Clears the ends of requests that were answered, for their callers."""
+        """Clears the ends of answered requests.
+
+        Ends under the keys of other callers of the same content stay.
+        """
         for fingerprint in served:
             self._discard(count_keys(fingerprint))
 
--- a/testing/app/test_following.py
+++ b/testing/app/test_following.py
@@ -1,4 +1,4 @@
-"""Tests of whom a node without a disk follows, and of reading the newest."""
+"""Tests of following a voter and of confirming the latest index."""
 
 import asyncio
 from typing import Any
@@ -25,16 +25,16 @@
 
 
 class ScriptedVoters:
-    """Voters that answer as a test says; implements `ports.peers.Peers`."""
+    """Fake voters with answers set by a test, as `ports.peers.Peers`."""
 
     def __init__(self) -> None:
         self.age = dict.fromkeys(_VOTERS, 0.1)
         self.entries: tuple[Entry, ...] = ()
         self.latest = Latest(-1)
-        self.asked: list[str] = []
+        self.asked_addresses: list[str] = []
 
     def send(self, address: str, message: Any) -> None:
-        """Loses a message."""
+        """Drops a message."""
 
     async def call(self, address: str, message: Any, timeout: float) -> Any:
         """Answers for a voter."""
@@ -42,15 +42,15 @@
         if isinstance(message, AskLatest):
             return self.latest
         assert isinstance(message, Follow)
-        self.asked.append(address)
+        self.asked_addresses.append(address)
         age = self.age[address]
         if age is None:
             await asyncio.sleep(timeout)
             raise PeerError("Follow", address, "no answer in time")
         await asyncio.sleep(message.wait)
-        # A voter that is out of touch doesn't have what was accepted since.
-        fresh = age < 1.0
-        entries = self.entries if fresh else ()
+        # An outdated voter lacks the entries committed since.
+        is_up_to_date = age < 1.0
+        entries = self.entries if is_up_to_date else ()
         upto = entries[-1].index if entries else message.beat.applied
         return FollowReply(age, upto, entries, b"", _VOTERS[0])
 
@@ -68,40 +68,41 @@
 
 
 class TestFollowing:
-    async def test_a_voter_out_of_touch_is_left_within_two_seconds(
+    async def test_an_outdated_voter_is_left_within_two_seconds(
         self,
     ) -> None:
         voters = ScriptedVoters()
         control = follower(voters)
-        following = asyncio.create_task(control.follow())
+        follow_task = asyncio.create_task(control.follow())
         await asyncio.sleep(2.0)
-        first = voters.asked[-1]
+        first = voters.asked_addresses[-1]
         voters.age = dict.fromkeys(_VOTERS, 0.1)
         voters.age[first] = 9.0
         command = codec.encode(PutRoutes(5, b"x"))
         voters.entries = (Entry(3, 1, command),)
         await asyncio.sleep(1.9)
         assert control.state.routes_version == 5
-        following.cancel()
+        follow_task.cancel()
 
-    async def test_the_one_that_works_is_kept(self) -> None:
+    async def test_a_working_voter_is_kept(self) -> None:
         voters = ScriptedVoters()
         control = follower(voters)
-        following = asyncio.create_task(control.follow())
+        follow_task = asyncio.create_task(control.follow())
         await asyncio.sleep(1.0)
-        first = voters.asked[-1]
+        first = voters.asked_addresses[-1]
         voters.age[first] = 9.0
         await asyncio.sleep(2.0)
-        voters.asked.clear()
+        voters.asked_addresses.clear()
         await asyncio.sleep(5.0)
-        assert first not in voters.asked
-        following.cancel()
+        assert first not in voters.asked_addresses
+        follow_task.cancel()
 
 
-class TestNearestVoter:
-    async def test_a_voter_of_its_own_data_centre_is_followed(self) -> None:
-        # Of 195 fronts in five data centres, four fifths asked a voter of
-        # another one three times a second: 0.2 MB a second between them.
+class TestNearVoter:
+    async def test_a_voter_in_the_same_data_centre_is_followed(self) -> None:
+        # Guards against traffic between data centres: of 195 fronts in five
+        # data centres, four fifths asked a remote voter three times a second,
+        # 0.2 MB a second in all.
         voters = ScriptedVoters()
         joined = (
             Node(name, "1", name, "a" if name == _VOTERS[2] else "b", name)
@@ -112,52 +113,56 @@
             for index, node in enumerate(joined, 1)
         )
         control = follower(voters)
-        following = asyncio.create_task(control.follow())
+        follow_task = asyncio.create_task(control.follow())
         await asyncio.sleep(1.0)
-        voters.asked.clear()
+        voters.asked_addresses.clear()
         await asyncio.sleep(3.0)
-        assert set(voters.asked) == {_VOTERS[2]}
-        following.cancel()
+        assert set(voters.asked_addresses) == {_VOTERS[2]}
+        follow_task.cancel()
 
-    async def test_failures_at_the_start_do_not_keep_it_elsewhere(
+    async def test_failures_at_startup_do_not_exclude_the_near_voter(
         self,
     ) -> None:
-        # Voters that start at the same time have no log yet; fronts that had
-        # left the near one then never came back to it (82 in 100 of what they
-        # sent voters went to other data centres).
+        # Guards against fronts that stay with remote voters: voters that
+        # start at the same time have no log yet, and fronts that then left
+        # the near one never returned to it. 82 in 100 of their requests went
+        # to other data centres.
         voters = ScriptedVoters()
         near = Node(_VOTERS[2], "1", _VOTERS[2], "a", "v")
         voters.entries = (Entry(1, 1, codec.encode(JoinNode(near))),)
         voters.age = dict.fromkeys(_VOTERS, 9.0)
         control = follower(voters)
-        following = asyncio.create_task(control.follow())
+        follow_task = asyncio.create_task(control.follow())
         await asyncio.sleep(3.0)
         voters.age = dict.fromkeys(_VOTERS, 0.1)
         await asyncio.sleep(2.0)
-        voters.asked.clear()
+        voters.asked_addresses.clear()
         await asyncio.sleep(2.0)
-        assert set(voters.asked) == {_VOTERS[2]}
-        following.cancel()
+        assert set(voters.asked_addresses) == {_VOTERS[2]}
+        follow_task.cancel()
 
-    async def test_another_one_is_once_it_is_out_of_touch(self) -> None:
+    async def test_another_voter_is_followed_while_the_near_one_is_outdated(
+        self,
+    ) -> None:
         voters = ScriptedVoters()
         near = Node(_VOTERS[2], "1", _VOTERS[2], "a", "v")
         voters.entries = (Entry(1, 1, codec.encode(JoinNode(near))),)
         control = follower(voters)
-        following = asyncio.create_task(control.follow())
+        follow_task = asyncio.create_task(control.follow())
         await asyncio.sleep(1.0)
         voters.age[_VOTERS[2]] = 9.0
         await asyncio.sleep(2.0)
-        voters.asked.clear()
+        voters.asked_addresses.clear()
         await asyncio.sleep(2.0)
-        assert set(voters.asked) == {_VOTERS[1]}
-        following.cancel()
+        assert set(voters.asked_addresses) == {_VOTERS[1]}
+        follow_task.cancel()
 
 
-class TestFollowers:
-    async def test_what_is_committed_in_a_row_is_told_at_once(self) -> None:
-        # Load pattern: 200 nodes join within two seconds, and each is told of
-        # each other one. Answered one by one these were 40,000 answers.
+class TestFollowReplies:
+    async def test_entries_committed_in_a_row_share_a_reply(self) -> None:
+        # Load pattern: 200 nodes join within two seconds, and each learns of
+        # every other one. Answered one entry at a time, that takes 40,000
+        # replies.
         node = LoneNode(storage_of(""))
         await node.start()
         answers = 0
@@ -172,7 +177,7 @@
                 applied = reply.upto
                 answers += 1
 
-        following = asyncio.create_task(follow())
+        follow_task = asyncio.create_task(follow())
         for number in range(200):
             name = f"10.0.9.{number}:70"
             joining = JoinNode(Node(name, "1", name, "a"))
@@ -181,10 +186,10 @@
         await asyncio.sleep(0.2)
         assert applied == node.control.state.index
         assert answers <= 25
-        following.cancel()
+        follow_task.cancel()
         node.stop()
 
-    async def test_one_that_has_just_started_is_answered_at_once(self) -> None:
+    async def test_a_newly_started_follower_is_answered_at_once(self) -> None:
         node = LoneNode(storage_of(""))
         await node.start()
         loop = asyncio.get_running_loop()
@@ -196,23 +201,23 @@
         node.stop()
 
 
-class TestReading:
-    async def test_a_node_that_is_not_sure_says_so(self) -> None:
+class TestConfirmLatest:
+    async def test_a_leader_that_cannot_confirm_is_reported(self) -> None:
         control = follower(ScriptedVoters())
         control.leader = _VOTERS[0]
         with pytest.raises(UnavailableError, match="newest"):
             await control.confirm_latest(0.5)
 
-    async def test_it_waits_for_what_was_committed(self) -> None:
+    async def test_it_waits_for_committed_entries(self) -> None:
         voters = ScriptedVoters()
         control = follower(voters)
         control.leader = _VOTERS[0]
         voters.latest = Latest(3)
         voters.entries = (Entry(3, 1, codec.encode(PutRoutes(5, b"x"))),)
-        reading = asyncio.create_task(control.confirm_latest(2.0))
+        confirm_task = asyncio.create_task(control.confirm_latest(2.0))
         await asyncio.sleep(0.2)
-        assert not reading.done()
-        following = asyncio.create_task(control.follow())
-        await reading
+        assert not confirm_task.done()
+        follow_task = asyncio.create_task(control.follow())
+        await confirm_task
         assert control.state.routes_version == 5
-        following.cancel()
+        follow_task.cancel()
--- a/testing/core/log/__init__.py
+++ b/testing/core/log/__init__.py
@@ -1,1 +1,1 @@
-"""Tests."""
+"""Tests of the replicated log."""
--- a/testing/core/log/cluster.py
+++ b/testing/core/log/cluster.py
@@ -1,7 +1,7 @@
-"""Replicas under a seeded scheduler that loses, delays and restarts.
+"""A simulated cluster of replicas with injected faults, run from a seed.
 
-The scheduler owns the clock. Each replica has a disk that keeps exactly what
-was synced before its messages went out; invariants are checked at each step.
+The simulation owns the clock. Each replica has a disk that keeps exactly what
+was synced before its messages were sent. Invariants are checked at each step.
 """
 
 import heapq
@@ -35,26 +35,26 @@
 @codec.register
 @attrs.frozen
 class Write:
-    """A test's command."""
+    """A command that the tests write to the log."""
 
     value: str
 
 
 @attrs.define
 class Disk:
-    """What a replica has synced."""
+    """The synced state of a replica."""
 
     snapshot: Snapshot
     hard_state: HardState = HardState()
     entries: list[Entry] = attrs.Factory(list)
 
     def append(self, entries: list[Entry]) -> None:
-        """Adds entries; one at a stored index cuts the tail."""
+        """Appends entries, each after removing all at its index or above."""
         for entry in entries:
             append_truncating(self.entries, entry)
 
     def stored(self) -> StoredLog:
-        """Returns what a restart finds."""
+        """Returns the state that a restarted replica loads."""
         return StoredLog(self.hard_state, tuple(self.entries), self.snapshot)
 
 
@@ -70,21 +70,29 @@
 
 @attrs.frozen
 class Faults:
-    """How the network and the replicas misbehave; shares and seconds."""
+    """Faults of the network.
 
-    loss: float = 0.05
-    duplication: float = 0.05
-    delay: float = 0.03
-    slow: float = 0.05
-    slow_delay: float = 1.5
+    Attributes:
+        loss_share: the share of messages that are lost.
+        duplication_share: the share of messages that are delivered twice.
+        max_delay: the longest delay of an ordinary message, in seconds.
+        slow_share: the share of messages that are delayed further.
+        max_slow_delay: the longest further delay, in seconds.
+    """
 
+    loss_share: float = 0.05
+    duplication_share: float = 0.05
+    max_delay: float = 0.03
+    slow_share: float = 0.05
+    max_slow_delay: float = 1.5
 
-class Violation(AssertionError):  # noqa: N818 - it is what a check found
-    """A broken invariant."""
+
+class Violation(AssertionError):  # noqa: N818 - reports a failed check
+    """An invariant does not hold."""
 
 
 class Cluster:
-    """Replicas and the network between them."""
+    """Replicas and the simulated network between them."""
 
     def __init__(
         self, names: tuple[str, ...], seed: int, faults: Faults | None = None
@@ -97,7 +105,7 @@
         self.led_until: dict[int, float] = {}
         self.committed: dict[int, tuple[int, bytes]] = {}
         self.acknowledged: set[str] = set()
-        self.cut: set[tuple[str, str]] = set()
+        self.blocked_links: set[tuple[str, str]] = set()
         self._proposed: dict[tuple[int, int], str] = {}
         self._events: list[tuple[float, int, str, str, Any]] = []
         self._order = itertools.count()
@@ -105,7 +113,7 @@
             self.add(name, make_initial_snapshot(names, b""))
 
     def add(self, name: str, snapshot: Snapshot | None = None) -> None:
-        """Adds a replica with an empty disk."""
+        """Adds a replica whose disk holds only a snapshot, empty by default."""
         start = snapshot or Snapshot(0, 0, Voters(()), b"")
         disk = Disk(start)
         self.members[name] = Member(self._replica(name, disk), disk)
@@ -118,44 +126,44 @@
     # -- faults -----------------------------------------------------------
 
     def crash(self, name: str) -> None:
-        """Stops a replica; its memory is lost."""
+        """Stops a replica, which loses everything that is not on its disk."""
         self.members[name].up = False
 
     def restart(self, name: str) -> None:
         """Starts a stopped replica from its disk."""
         member = self.members[name]
         member.replica = self._replica(name, member.disk)
-        member.applied = _applied_of(member.disk.snapshot)
+        member.applied = _applied_in(member.disk.snapshot)
         member.up = True
 
     def wipe(self, name: str) -> None:
-        """Takes a replica and its disk away for good."""
+        """Stops a replica whose disk is lost; it must not be restarted."""
         self.members[name].up = False
 
     def isolate(self, name: str, *, inbound: bool, outbound: bool) -> None:
-        """Cuts a replica off in one direction or both."""
+        """Blocks the links to or from a replica, or both."""
         for other in self.members:
             if inbound:
-                self.cut.add((other, name))
+                self.blocked_links.add((other, name))
             if outbound:
-                self.cut.add((name, other))
+                self.blocked_links.add((name, other))
 
     def heal(self) -> None:
-        """Ends all cuts."""
-        self.cut.clear()
+        """Unblocks all links."""
+        self.blocked_links.clear()
 
     # -- running ----------------------------------------------------------
 
     def run(self, seconds: float) -> None:
-        """Advances the clock."""
+        """Advances the clock by some seconds and runs the events due."""
         end = self.now + seconds
         while self._events and self._events[0][0] <= end:
             at, _, kind, name, payload = heapq.heappop(self._events)
             self.now = at
-            self._happen(kind, name, payload)
+            self._dispatch_event(kind, name, payload)
         self.now = end
 
-    def _happen(self, kind: str, name: str, payload: Any) -> None:
+    def _dispatch_event(self, kind: str, name: str, payload: Any) -> None:
         member = self.members[name]
         if kind == "tick":
             self._schedule_tick(name)
@@ -165,10 +173,10 @@
             member.replica.tick(self.now)
         else:
             sender, message = payload
-            if (sender, name) in self.cut:
+            if (sender, name) in self.blocked_links:
                 return
             member.replica.receive(message, sender, self.now)
-        self.settle(name)
+        self.process_output(name)
 
     def _schedule_tick(self, name: str) -> None:
         self._schedule(self.now + _TICK, "tick", name, None)
@@ -178,14 +186,18 @@
         heapq.heappush(self._events, event)
 
     def propose(self, name: str, command: Any) -> int | None:
-        """Proposes a command to a replica."""
+        """Proposes a command to a replica.
+
+        Returns:
+            The index of the entry, or None if the replica is down or refuses.
+        """
         member = self.members[name]
         if not member.up:
             return None
         index = member.replica.propose(command, self.now)
         if index is not None and isinstance(command, Write):
             self._proposed[(index, member.replica.term)] = command.value
-        self.settle(name)
+        self.process_output(name)
         return index
 
     def leader(self) -> str:
@@ -197,10 +209,10 @@
         ]
         return max(leading, default=(0, ""))[1]
 
-    # -- a driver's work --------------------------------------------------
+    # -- driver -----------------------------------------------------------
 
-    def settle(self, name: str) -> None:
-        """Syncs a replica's output, sends it, applies it, and checks."""
+    def process_output(self, name: str) -> None:
+        """Syncs, sends and applies a replica's output; checks the leader."""
         member = self.members[name]
         output = member.replica.take_output()
         if output.hard_state is not None:
@@ -210,7 +222,7 @@
             member.disk.snapshot = output.snapshot
             tail = log.slice(log.snapshot.index, log.last_index)
             member.disk.entries = list(tail)
-            member.applied = _applied_of(output.snapshot)
+            member.applied = _applied_in(output.snapshot)
         else:
             member.disk.append(output.entries)
         for send in output.messages:
@@ -220,13 +232,13 @@
         self._check_leader(name, member)
 
     def _transmit(self, sender: str, to: str, message: Any) -> None:
-        if to not in self.members or self.rng.random() < self.faults.loss:
+        if to not in self.members or self.rng.random() < self.faults.loss_share:
             return
-        copies = 2 if self.rng.random() < self.faults.duplication else 1
+        copies = 2 if self.rng.random() < self.faults.duplication_share else 1
         for _ in range(copies):
-            delay = self.rng.uniform(0.001, self.faults.delay)
-            if self.rng.random() < self.faults.slow:
-                delay += self.rng.uniform(0, self.faults.slow_delay)
+            delay = self.rng.uniform(0.001, self.faults.max_delay)
+            if self.rng.random() < self.faults.slow_share:
+                delay += self.rng.uniform(0, self.faults.max_slow_delay)
             at = self.now + delay
             self._schedule(at, "message", to, (sender, message))
 
@@ -235,10 +247,12 @@
             entry.index, (entry.term, entry.command)
         )
         if known != (entry.term, entry.command):
-            raise Violation(f"two entries committed at {entry.index}")
+            raise Violation(
+                f"two different entries committed at index {entry.index}"
+            )
         last = member.applied[-1][0] if member.applied else 0
         if entry.index <= last:
-            raise Violation(f"{entry.index} applied after {last}")
+            raise Violation(f"{entry.index} applied after index {last}")
         command = codec.decode(entry.command)
         if not isinstance(command, Write):
             return
@@ -247,7 +261,7 @@
             self.acknowledged.add(command.value)
 
     def compact(self, name: str) -> None:
-        """Has a replica replace its applied log by a snapshot."""
+        """Makes a replica replace its committed entries by a snapshot."""
         member = self.members[name]
         replica = member.replica
         if not member.up or replica.commit_index <= replica.log.snapshot.index:
@@ -265,43 +279,50 @@
             return
         known = self.leaders.setdefault(replica.term, name)
         if known != name:
-            raise Violation(f"{known} and {name} lead term {replica.term}")
-        self._check_predecessors(name, replica)
+            raise Violation(f"{known} and {name} both lead term {replica.term}")
+        self._check_predecessor_bound(name, replica)
+
+    def _check_predecessor_bound(self, name: str, replica: Replica) -> None:
+        """Checks that no earlier leader confirmed its quorum after the bound.
 
-    def _check_predecessors(self, name: str, replica: Replica) -> None:
-        """Checks until when a leader says that earlier ones may have led."""
+        The bound is the leader's `predecessor_until`.
+        """
         self.led_until[replica.term] = replica.quorum_confirmed_at(self.now)
         for term, led_until in self.led_until.items():
             if term < replica.term and led_until > replica.predecessor_until:
-                raise Violation(f"{name} leads while term {term} was confirmed")
+                raise Violation(
+                    f"{name} leads, but term {term} was confirmed too late"
+                )
 
     # -- checks -----------------------------------------------------------
 
     def check_logs(self) -> None:
-        """Checks that logs agree and that nothing acknowledged is lost."""
+        """Checks that all applied commands agree with the committed entries."""
         for member in self.members.values():
             for index, value in member.applied:
                 entry = self.committed.get(index)
                 if entry and codec.decode(entry[1]) != Write(value):
-                    raise Violation(f"{value!r} applied at {index}")
+                    raise Violation(
+                        f"{value!r} applied but not committed at index {index}"
+                    )
 
-    def check_kept(self, name: str) -> None:
-        """Checks that a replica has applied all that was acknowledged."""
+    def check_applied_all(self, name: str) -> None:
+        """Checks that a replica has applied all acknowledged commands."""
         values = {value for _, value in self.members[name].applied}
         lost = self.acknowledged - values
         if lost:
-            raise Violation(f"{name} lost acknowledged {sorted(lost)}")
+            raise Violation(f"{name} lost acknowledged commands {sorted(lost)}")
 
 
 @codec.register
 @attrs.frozen
 class Applied:
-    """A test snapshot's data."""
+    """The data of a test's snapshot: applied commands with their index."""
 
     values: tuple[tuple[int, str], ...]
 
 
-def _applied_of(snapshot: Snapshot) -> list[tuple[int, str]]:
+def _applied_in(snapshot: Snapshot) -> list[tuple[int, str]]:
     if not snapshot.data:
         return []
     return list(codec.decode(snapshot.data).values)
--- a/testing/core/log/test_replica.py
+++ b/testing/core/log/test_replica.py
@@ -1,4 +1,4 @@
-"""Tests of the replicated log."""
+"""Tests of log replicas, singly, in a cluster and under random faults."""
 
 import random
 
@@ -28,12 +28,12 @@
 
 _NAMES = ("a.0", "b.0", "c.0")
 _SCHEDULES = 1000
-_LONG_SCHEDULES = 20_000
+_EXTRA_SCHEDULES = 20_000
 
 
-def calm_cluster(seed: int = 1) -> Cluster:
-    """Returns a cluster with a leader and a network without faults."""
-    faults = Faults(loss=0, duplication=0, slow=0)
+def make_stable_cluster(seed: int = 1) -> Cluster:
+    """Returns a cluster that has a leader and a network without faults."""
+    faults = Faults(loss_share=0, duplication_share=0, slow_share=0)
     cluster = Cluster(_NAMES, seed, faults)
     cluster.run(5.0)
     assert cluster.leader()
@@ -42,23 +42,25 @@
 
 class TestElection:
     def test_one_leader_is_elected(self) -> None:
-        cluster = calm_cluster()
+        cluster = make_stable_cluster()
         leading = [
             m for m in cluster.members.values() if m.replica.role == LEADER
         ]
         assert len(leading) == 1
 
     def test_a_lost_leader_is_replaced_within_five_seconds(self) -> None:
-        cluster = calm_cluster()
+        cluster = make_stable_cluster()
         first = cluster.leader()
         cluster.crash(first)
         cluster.run(5.0)
         assert cluster.leader() not in ("", first)
 
     @pytest.mark.parametrize("seed", range(20))
-    def test_the_first_of_those_left_wins_at_once(self, seed: int) -> None:
-        # With delays by lot, three voters of five that all had to agree took
-        # 2.5 s (tanuru-book scale-1).
+    def test_a_new_leader_is_elected_within_the_longest_timeout(
+        self, seed: int
+    ) -> None:
+        # Guards against split votes: with random election timeouts, three
+        # voters left of five, which must all agree, took 2.5 s.
         cluster = Cluster(
             ("n1", "n2", "n3", "n4", "n5"), seed, Faults(0.0, 0.0, 0.01, 0.0)
         )
@@ -71,10 +73,11 @@
         assert cluster.leader() not in ("", first)
 
     @pytest.mark.parametrize("seed", range(10))
-    def test_a_leader_that_was_only_restarted_leads_again(
+    def test_a_quickly_restarted_leader_is_elected_again(
         self, seed: int
     ) -> None:
-        # Another one would have to wait for its lease before the first order.
+        # Any other leader would have to wait for the old one's lease to end
+        # before its first order.
         cluster = Cluster(
             ("n1", "n2", "n3", "n4", "n5"), seed, Faults(0.0, 0.0, 0.01, 0.0)
         )
@@ -87,8 +90,8 @@
         cluster.run(0.35)
         assert cluster.leader() == first
 
-    def test_a_leader_knows_until_when_another_may_have_led(self) -> None:
-        cluster = calm_cluster()
+    def test_a_new_leader_bounds_when_its_predecessor_led(self) -> None:
+        cluster = make_stable_cluster()
         first = cluster.leader()
         cut_at = cluster.now
         cluster.isolate(first, inbound=True, outbound=True)
@@ -99,7 +102,7 @@
         assert later.predecessor_until < cut_at + 0.1
 
     def test_a_returning_voter_does_not_disturb_the_leader(self) -> None:
-        cluster = calm_cluster()
+        cluster = make_stable_cluster()
         leader = cluster.leader()
         term = cluster.members[leader].replica.term
         other = next(n for n in _NAMES if n != leader)
@@ -110,10 +113,10 @@
         assert cluster.leader() == leader
         assert cluster.members[leader].replica.term == term
 
-    def test_a_voter_that_hears_nothing_does_not_disturb_the_leader(
+    def test_a_voter_without_inbound_messages_does_not_disturb_the_leader(
         self,
     ) -> None:
-        cluster = calm_cluster()
+        cluster = make_stable_cluster()
         leader = cluster.leader()
         other = next(n for n in _NAMES if n != leader)
         cluster.isolate(other, inbound=True, outbound=False)
@@ -121,44 +124,44 @@
         assert cluster.leader() == leader
 
     def test_a_leader_without_a_quorum_steps_down(self) -> None:
-        cluster = calm_cluster()
+        cluster = make_stable_cluster()
         leader = cluster.leader()
         cluster.isolate(leader, inbound=True, outbound=True)
         cluster.run(5.0)
         assert cluster.members[leader].replica.role != LEADER
 
     def test_a_longer_log_under_an_older_term_still_wins(self) -> None:
-        faults = Faults(loss=0, duplication=0, slow=0)
+        faults = Faults(loss_share=0, duplication_share=0, slow_share=0)
         cluster = Cluster(_NAMES, 1, faults)
-        longer, behind, gone = _NAMES
+        long_log, short_log, stopped = _NAMES
         command = codec.encode(NoOp())
         entries = [Entry(index, 2, command) for index in (1, 2, 3)]
         disks = {name: cluster.members[name].disk for name in _NAMES}
-        disks[longer].hard_state = HardState(2, longer)
-        disks[longer].entries = entries
-        disks[behind].hard_state = HardState(3, behind)
-        disks[behind].entries = entries[:1]
+        disks[long_log].hard_state = HardState(2, long_log)
+        disks[long_log].entries = entries
+        disks[short_log].hard_state = HardState(3, short_log)
+        disks[short_log].entries = entries[:1]
         for name in _NAMES:
             cluster.crash(name)
-        cluster.restart(longer)
-        cluster.restart(behind)
+        cluster.restart(long_log)
+        cluster.restart(short_log)
         cluster.run(10.0)
-        assert cluster.leader() == longer
+        assert cluster.leader() == long_log
 
 
 class TestReplication:
     def test_a_command_is_applied_everywhere(self) -> None:
-        cluster = calm_cluster()
+        cluster = make_stable_cluster()
         cluster.propose(cluster.leader(), Write("x"))
         cluster.run(1.0)
         for name in _NAMES:
-            cluster.check_kept(name)
+            cluster.check_applied_all(name)
         assert cluster.acknowledged == {"x"}
 
     def test_followers_learn_of_a_commit_before_the_next_heartbeat(
         self,
     ) -> None:
-        cluster = calm_cluster()
+        cluster = make_stable_cluster()
         heartbeat = Timing().heartbeat
         for _ in range(20):
             cluster.propose(cluster.leader(), Write("x"))
@@ -167,12 +170,12 @@
             assert len(commits) == 1
 
     def test_a_follower_refuses_a_proposal(self) -> None:
-        cluster = calm_cluster()
+        cluster = make_stable_cluster()
         other = next(n for n in _NAMES if n != cluster.leader())
         assert cluster.propose(other, Write("x")) is None
 
     def test_a_follower_too_far_behind_gets_a_snapshot(self) -> None:
-        cluster = calm_cluster()
+        cluster = make_stable_cluster()
         leader = cluster.leader()
         other = next(n for n in _NAMES if n != leader)
         cluster.crash(other)
@@ -182,10 +185,10 @@
         cluster.compact(leader)
         cluster.restart(other)
         cluster.run(5.0)
-        cluster.check_kept(other)
+        cluster.check_applied_all(other)
 
     def test_an_isolated_leader_commits_nothing(self) -> None:
-        cluster = calm_cluster()
+        cluster = make_stable_cluster()
         leader = cluster.leader()
         cluster.isolate(leader, inbound=True, outbound=True)
         cluster.propose(leader, Write("lost"))
@@ -193,14 +196,14 @@
         assert "lost" not in cluster.acknowledged
 
 
-class TestConfirmedAt:
-    def test_it_follows_the_clock_while_a_quorum_answers(self) -> None:
-        cluster = calm_cluster()
+class TestQuorumConfirmedAt:
+    def test_it_advances_while_a_quorum_answers(self) -> None:
+        cluster = make_stable_cluster()
         replica = cluster.members[cluster.leader()].replica
         assert cluster.now - replica.quorum_confirmed_at(cluster.now) < 0.5
 
-    def test_it_stands_still_without_a_quorum(self) -> None:
-        cluster = calm_cluster()
+    def test_it_does_not_advance_without_a_quorum(self) -> None:
+        cluster = make_stable_cluster()
         leader = cluster.leader()
         replica = cluster.members[leader].replica
         cluster.isolate(leader, inbound=True, outbound=True)
@@ -209,15 +212,15 @@
         assert replica.quorum_confirmed_at(cluster.now) <= cut_at
 
     def test_a_follower_confirms_nothing(self) -> None:
-        cluster = calm_cluster()
+        cluster = make_stable_cluster()
         other = next(n for n in _NAMES if n != cluster.leader())
         replica = cluster.members[other].replica
         assert replica.quorum_confirmed_at(cluster.now) == float("-inf")
 
 
 class TestChangeVoters:
-    def test_a_lost_disk_is_replaced_and_a_second_loss_survived(self) -> None:
-        cluster = calm_cluster()
+    def test_a_replaced_disk_counts_towards_the_quorum(self) -> None:
+        cluster = make_stable_cluster()
         leader = cluster.leader()
         cluster.propose(leader, Write("before"))
         lost, second = (n for n in _NAMES if n != leader)
@@ -236,47 +239,47 @@
         cluster.crash(second)
         cluster.propose(cluster.leader(), Write("after"))
         cluster.run(5.0)
-        cluster.check_kept(new)
+        cluster.check_applied_all(new)
         assert cluster.acknowledged == {"before", "after"}
 
     def test_a_second_change_waits_for_the_first(self) -> None:
-        cluster = calm_cluster()
+        cluster = make_stable_cluster()
         leader = cluster.leader()
         change = ChangeVoters(Voters(_NAMES, ("d.0",)))
         assert cluster.propose(leader, change)
         assert cluster.propose(leader, change) is None
 
 
-def lone_replica(
+def make_replica(
     name: str, hard_state: HardState, terms: tuple[int, ...]
 ) -> Replica:
-    """Returns one of three replicas whose entries have these terms."""
+    """Returns a replica of three whose log has entries of these terms."""
     command = codec.encode(NoOp())
     entries = tuple(Entry(n, term, command) for n, term in enumerate(terms, 1))
     stored = StoredLog(hard_state, entries, make_initial_snapshot(_NAMES, b""))
     return Replica(name, stored, 0.0, random.Random(1))
 
 
-def granted(replica: Replica) -> list[bool]:
-    """Returns which votes a replica has just given."""
+def votes_granted(replica: Replica) -> list[bool]:
+    """Returns, for each vote response just sent, whether it grants a vote."""
     messages = [send.message for send in replica.take_output().messages]
     return [m.granted for m in messages if isinstance(m, VoteResponse)]
 
 
 class TestHardState:
     def test_a_vote_is_kept_over_a_restart(self) -> None:
-        replica = lone_replica("a.0", HardState(), ())
+        replica = make_replica("a.0", HardState(), ())
         replica.receive(VoteRequest(1, 0, 0, pre=False), "b.0", 0.1)
         output = replica.take_output()
         assert output.hard_state == HardState(1, "b.0")
-        again = lone_replica("a.0", output.hard_state, ())
-        again.receive(VoteRequest(1, 0, 0, pre=False), "c.0", 0.2)
-        assert granted(again) == [False]
+        restarted = make_replica("a.0", output.hard_state, ())
+        restarted.receive(VoteRequest(1, 0, 0, pre=False), "c.0", 0.2)
+        assert votes_granted(restarted) == [False]
 
 
 class TestCommit:
     def test_an_earlier_terms_entry_is_not_committed_by_count(self) -> None:
-        replica = lone_replica("a.0", HardState(3, "a.0"), (2,))
+        replica = make_replica("a.0", HardState(3, "a.0"), (2,))
         replica.tick(10.0)
         replica.receive(VoteResponse(4, True, pre=True), "b.0", 10.1)
         replica.receive(VoteResponse(4, True, pre=False), "b.0", 10.2)
@@ -287,7 +290,7 @@
         assert replica.commit_index == 2
 
     def test_a_follower_commits_only_what_matches(self) -> None:
-        replica = lone_replica("a.0", HardState(1, ""), (1, 1, 1))
+        replica = make_replica("a.0", HardState(1, ""), (1, 1, 1))
         heartbeat = AppendRequest(2, 1, 1, (), 3, 0.0)
         replica.receive(heartbeat, "b.0", 0.1)
         assert replica.commit_index == 1
@@ -303,6 +306,6 @@
 
     @pytest.mark.long
     @pytest.mark.timeout(0)
-    def test_invariants_hold_over_many_more(self) -> None:
-        for seed in range(_SCHEDULES, _SCHEDULES + _LONG_SCHEDULES):
+    def test_invariants_hold_over_many_more_schedules(self) -> None:
+        for seed in range(_SCHEDULES, _SCHEDULES + _EXTRA_SCHEDULES):
             Schedule(seed).run()
--- a/testing/core/test_recent_keys.py
+++ b/testing/core/test_recent_keys.py
@@ -1,4 +1,4 @@
-"""Tests of keys that were met lately."""
+"""Tests of the bounded set of recent keys."""
 
 from ridgesill.core.recent_keys import RecentKeys
 
@@ -8,7 +8,7 @@
         keys = RecentKeys(10)
         assert [keys.add(key) for key in ("a", "b", "a")] == [True, True, False]
 
-    def test_the_oldest_gives_way(self) -> None:
+    def test_the_oldest_key_is_evicted(self) -> None:
         keys = RecentKeys(2)
         for key in ("a", "b", "c"):
             keys.add(key)
--- a/testing/core/test_routing.py
+++ b/testing/core/test_routing.py
@@ -1,4 +1,4 @@
-"""Tests of the entry node's choice of a pool, and its retries."""
+"""Tests of rendezvous ranking, pool choice and the retry budget."""
 
 from ridgesill.core.pool.hints import PoolHints
 from ridgesill.core.rendezvous import rank
@@ -7,26 +7,26 @@
 _POOLS = ("a/s", "b/s", "c/s")
 
 
-def known(*resident: str, spare: int = 8) -> PoolHints:
-    """Returns what is known of a pool."""
+def make_hints(*resident: str, spare: int = 8) -> PoolHints:
+    """Returns the hints of a pool."""
     return PoolHints(1, 1, set(resident), spare)
 
 
 class TestRankPools:
     def test_a_pool_that_holds_the_adapter_goes_first(self) -> None:
-        away = rank("x@1", _POOLS)[-1]
-        hints = {pool: known() for pool in _POOLS}
-        hints[away] = known("x@1")
-        assert rank_pools("x@1", _POOLS, hints)[0] == away
+        last = rank("x@1", _POOLS)[-1]
+        hints = {pool: make_hints() for pool in _POOLS}
+        hints[last] = make_hints("x@1")
+        assert rank_pools("x@1", _POOLS, hints)[0] == last
 
-    def test_an_absent_adapter_goes_to_its_home(self) -> None:
-        hints = {pool: known() for pool in _POOLS}
+    def test_an_absent_adapter_follows_the_rendezvous_order(self) -> None:
+        hints = {pool: make_hints() for pool in _POOLS}
         assert rank_pools("x@1", _POOLS, hints) == rank("x@1", _POOLS)
 
-    def test_a_full_home_goes_last(self) -> None:
+    def test_a_full_pool_goes_last(self) -> None:
         home = rank("x@1", _POOLS)[0]
-        hints = {pool: known() for pool in _POOLS}
-        hints[home] = known(spare=0)
+        hints = {pool: make_hints() for pool in _POOLS}
+        hints[home] = make_hints(spare=0)
         assert rank_pools("x@1", _POOLS, hints)[-1] == home
 
     def test_without_hints_all_entry_nodes_agree(self) -> None:
@@ -36,7 +36,7 @@
 
 
 class TestRank:
-    def test_a_lost_candidate_moves_only_its_own_keys(self) -> None:
+    def test_a_removed_candidate_moves_only_its_own_keys(self) -> None:
         keys = [f"k{n}" for n in range(200)]
         moved = [
             key
@@ -50,13 +50,13 @@
 class TestRetryBudget:
     def test_retries_are_a_share_of_the_requests(self) -> None:
         budget = RetryBudget(share=0.2, burst=5.0)
-        taken = 0
+        granted = 0
         for _ in range(1000):
             budget.record_request()
-            taken += budget.acquire()
-        assert 200 <= taken <= 220
+            granted += budget.acquire()
+        assert 200 <= granted <= 220
 
-    def test_a_burst_is_bounded(self) -> None:
+    def test_saved_retries_are_bounded(self) -> None:
         budget = RetryBudget(share=0.2, burst=5.0)
         for _ in range(1000):
             budget.record_request()
--- a/testing/core/test_state.py
+++ b/testing/core/test_state.py
@@ -1,4 +1,4 @@
-"""Tests of the state machine."""
+"""Tests of the replicated state machine and the configuration table."""
 
 from typing import Any
 
@@ -38,20 +38,20 @@
 
 
 class LocalLog:
-    """Applies commands one after another."""
+    """Applies commands to a state without replication."""
 
     def __init__(self) -> None:
         self.state = State()
         self.index = 0
 
     def apply(self, command: Any) -> Any:
-        """Applies a command under the next index."""
+        """Applies a command at the next index and returns its answer."""
         self.index += 1
         return self.state.apply(Entry(self.index, 1, codec.encode(command)))
 
 
-def table(versions: tuple[str, ...] = ("v1",)) -> Table:
-    """Returns a table of one adapter."""
+def make_declared_table(versions: tuple[str, ...] = ("v1",)) -> Table:
+    """Returns a table that declares one adapter with these versions."""
     return make_table(
         [DataCentre("east", "coast"), DataCentre("west", "coast")],
         [Team("crews", places=("east",))],
@@ -63,10 +63,10 @@
 def configure(
     version: int, base: int = 0, digest: str = "", operation: str = ""
 ) -> Configure:
-    """Returns a command that puts a version in force."""
+    """Returns a command that configures a version."""
     digest = digest or f"d{version}"
     operation = operation or f"o{version}-{digest}"
-    change = diff(Table(), table((f"v{version}",)))
+    change = diff(Table(), make_declared_table((f"v{version}",)))
     return Configure(operation, base, version, digest, change)
 
 
@@ -77,7 +77,7 @@
         assert answer.verdict == commands.ACCEPTED
         assert log.state.table.adapters["a"].versions == ("v1",)
 
-    def test_of_two_with_equal_versions_one_wins(self) -> None:
+    def test_the_first_of_two_files_with_equal_versions_wins(self) -> None:
         log = LocalLog()
         first = log.apply(configure(1, digest="x"))
         second = log.apply(configure(1, digest="y"))
@@ -93,13 +93,15 @@
         assert log.apply(command) == first
         assert log.state.version == 2
 
-    def test_the_same_file_again_is_accepted_once(self) -> None:
+    def test_the_same_file_under_another_operation_is_accepted_once(
+        self,
+    ) -> None:
         log = LocalLog()
         first = log.apply(configure(1, operation="one"))
         second = log.apply(configure(1, operation="two"))
         assert second == first
 
-    def test_another_base_is_a_conflict(self) -> None:
+    def test_an_outdated_base_is_a_conflict(self) -> None:
         log = LocalLog()
         log.apply(configure(1))
         answer = log.apply(configure(3, base=0))
@@ -125,7 +127,7 @@
 
 
 class TestRoutes:
-    def test_the_highest_version_holds(self) -> None:
+    def test_the_highest_version_stays_in_force(self) -> None:
         log = LocalLog()
         log.apply(PutRoutes(5, b"five"))
         log.apply(PutRoutes(3, b"three"))
@@ -137,13 +139,13 @@
             b"nine",
         )
 
-    def test_artifact_versions_never_fall(self) -> None:
+    def test_artifact_versions_never_decrease(self) -> None:
         log = LocalLog()
         log.apply(PutArtifactVersion("m/a1", 4))
         log.apply(PutArtifactVersion("m/a1", 2))
         assert log.state.artifact_versions == {"m/a1": 4}
 
-    def test_a_snapshot_keeps_both(self) -> None:
+    def test_a_snapshot_keeps_routes_and_artifact_versions(self) -> None:
         log = LocalLog()
         log.apply(PutRoutes(5, b"five"))
         log.apply(PutArtifactVersion("m/a1", 4))
@@ -153,18 +155,18 @@
 
 
 class TestOwners:
-    def test_a_first_owner_need_not_wait(self) -> None:
+    def test_a_first_owner_need_not_wait_for_a_lease(self) -> None:
         log = LocalLog()
         log.apply(GrantPool("east/assist", "n1", "x"))
         assert log.state.owners["east/assist"].released
 
-    def test_an_owner_after_a_lost_one_must_wait(self) -> None:
+    def test_an_owner_after_an_unreleased_one_must_wait(self) -> None:
         log = LocalLog()
         log.apply(GrantPool("east/assist", "n1", "x"))
         log.apply(GrantPool("east/assist", "n2", "y"))
         assert not log.state.owners["east/assist"].released
 
-    def test_epochs_rise(self) -> None:
+    def test_epochs_increase(self) -> None:
         log = LocalLog()
         log.apply(GrantPool("east/assist", "n1", "x"))
         first = log.state.owners["east/assist"].epoch
@@ -195,7 +197,7 @@
             state.apply(entry)
         assert state.owners["east/assist"].node == "n2"
 
-    def test_a_restarted_node_is_not_removed_by_its_past(self) -> None:
+    def test_a_removal_of_an_earlier_incarnation_changes_nothing(self) -> None:
         log = LocalLog()
         log.apply(JoinNode(NODE))
         log.apply(JoinNode(attrs.evolve(NODE, incarnation="y")))
@@ -209,7 +211,7 @@
 
 
 def finish(request: str, outcome: str) -> FinishOnce:
-    """Returns a command that finishes it."""
+    """Returns a command that finishes a request begun by `begin`."""
     return FinishOnce("crews", "k", request, outcome, 200, "text", b"body")
 
 
@@ -226,14 +228,14 @@
         log.apply(begin("r1"))
         assert log.apply(begin("r1")).begun
 
-    def test_a_finished_one_answers_from_the_record(self) -> None:
+    def test_a_finished_request_is_answered_from_the_record(self) -> None:
         log = LocalLog()
         log.apply(begin("r1"))
         log.apply(finish("r1", commands.COMPLETED))
         record = log.apply(begin("r2")).record
         assert (record.outcome, record.body) == (commands.COMPLETED, b"body")
 
-    def test_one_that_did_not_run_frees_its_key(self) -> None:
+    def test_a_request_that_did_not_run_frees_its_key(self) -> None:
         log = LocalLog()
         log.apply(begin("r1"))
         log.apply(finish("r1", commands.NOT_RUN))
@@ -247,7 +249,7 @@
         log.apply(finish("r1", commands.NOT_RUN))
         assert not log.apply(begin("r3")).begun
 
-    def test_a_lost_node_leaves_unknown(self) -> None:
+    def test_a_removed_node_makes_its_requests_unknown(self) -> None:
         log = LocalLog()
         log.apply(JoinNode(NODE))
         log.apply(begin("r1", node="x"))
@@ -260,7 +262,7 @@
         log.apply(begin("r1", at=0.0))
         assert log.apply(begin("r2", at=ONCE_LIFETIME_SECONDS + 1)).begun
 
-    def test_nodes_without_a_disk_do_not_follow_records(self) -> None:
+    def test_nodes_without_a_disk_do_not_need_records(self) -> None:
         assert not is_needed_without_disk(codec.encode(begin("r1")))
         assert not is_needed_without_disk(codec.encode(finish("r1", "unknown")))
         assert is_needed_without_disk(codec.encode(configure(1)))
@@ -278,19 +280,19 @@
         assert loaded.table.adapters == log.state.table.adapters
         assert once_key("crews", "k") in loaded.once
 
-    def test_followers_get_it_without_records(self) -> None:
+    def test_a_dump_can_leave_out_records(self) -> None:
         log = LocalLog()
         log.apply(begin("r1"))
         assert not State.load(log.state.dump(with_once=False)).once
 
 
 class TestTable:
-    def test_places_are_what_all_allow(self) -> None:
-        declared = table()
+    def test_allowed_places_are_the_intersection(self) -> None:
+        declared = make_declared_table()
         adapter = declared.adapters["a"]
         assert declared.allowed_places(adapter) == {"east"}
 
-    def test_equal_declarations_are_held_once(self) -> None:
+    def test_equal_declarations_share_one_object(self) -> None:
         made = make_table(
             adapters=[
                 Group(Adapter("t", "s", ("v1",)), ("a",)),
@@ -300,8 +302,8 @@
         assert made.adapters["a"] is made.adapters["b"]
 
     def test_a_change_carries_only_what_differs(self) -> None:
-        old = table()
-        new = table()
+        old = make_declared_table()
+        new = make_declared_table()
         new.adapters["b"] = Adapter("crews", "assist", ("v1",))
         del new.adapters["a"]
         change = diff(old, new)
@@ -309,6 +311,6 @@
         assert change.removed == ("a",)
 
     def test_removed_adapters_leave(self) -> None:
-        declared = table()
+        declared = make_declared_table()
         declared.apply(Change(removed=("a",)))
         assert not declared.adapters
--- a/testing/core/test_suspects.py
+++ b/testing/core/test_suspects.py
@@ -1,4 +1,4 @@
-"""Tests of what is held against requests when upstreams end."""
+"""Tests of counting upstream ends per request."""
 
 import attrs
 import pytest
@@ -11,95 +11,95 @@
 HARMLESS = Fingerprint("t1", "w2", "w2-a")
 
 
-def quarantined(known: Suspects) -> list[Fingerprint]:
-    """Returns the requests that get no upstream."""
-    return [suspect.fingerprint for suspect in known.quarantined()]
+def quarantined_fingerprints(tracker: Suspects) -> list[Fingerprint]:
+    """Returns the fingerprints of the quarantined requests."""
+    return [suspect.fingerprint for suspect in tracker.quarantined()]
 
 
 class TestEnds:
     def test_three_ends_put_a_request_in_quarantine(self) -> None:
-        known = Suspects()
+        tracker = Suspects()
         for upstream in ("i-1", "i-2"):
-            known.record_end(upstream, [HARMFUL])
-        assert not quarantined(known)
-        known.record_end("i-3", [HARMFUL])
-        assert quarantined(known) == [HARMFUL]
+            tracker.record_end(upstream, [HARMFUL])
+        assert not quarantined_fingerprints(tracker)
+        tracker.record_end("i-3", [HARMFUL])
+        assert quarantined_fingerprints(tracker) == [HARMFUL]
 
-    def test_one_end_told_by_many_fronts_counts_once(self) -> None:
-        known = Suspects()
+    def test_an_end_reported_by_many_fronts_counts_once(self) -> None:
+        tracker = Suspects()
         for _ in range(5):
-            known.record_end("i-1", [HARMFUL])
-        assert known.ended_upstreams(HARMFUL) == ("i-1",)
+            tracker.record_end("i-1", [HARMFUL])
+        assert tracker.ended_upstreams(HARMFUL) == ("i-1",)
 
-    def test_a_whole_answer_takes_all_back(self) -> None:
-        known = Suspects()
+    def test_a_whole_answer_clears_the_ends(self) -> None:
+        tracker = Suspects()
         for upstream in ("i-1", "i-2"):
-            known.record_end(upstream, [HARMFUL, HARMLESS])
-        known.clear([HARMLESS])
-        known.record_end("i-3", [HARMFUL, HARMLESS])
-        assert quarantined(known) == [HARMFUL]
-        assert known.ended_upstreams(HARMLESS) == ("i-3",)
-
-    def test_a_caller_s_addresses_count_together(self) -> None:
-        known = Suspects()
+            tracker.record_end(upstream, [HARMFUL, HARMLESS])
+        tracker.clear([HARMLESS])
+        tracker.record_end("i-3", [HARMFUL, HARMLESS])
+        assert quarantined_fingerprints(tracker) == [HARMFUL]
+        assert tracker.ended_upstreams(HARMLESS) == ("i-3",)
+
+    def test_ends_of_one_content_count_together_for_all_callers(self) -> None:
+        tracker = Suspects()
         for number in range(3):
             elsewhere = attrs.evolve(HARMFUL, caller=f"w1-{number}")
-            known.record_end(f"i-{number}", [elsewhere])
-        assert len(known.ended_upstreams(HARMFUL)) == 3
+            tracker.record_end(f"i-{number}", [elsewhere])
+        assert len(tracker.ended_upstreams(HARMFUL)) == 3
 
-    def test_an_answer_to_another_caller_clears_one_caller_s_no_more(
+    def test_an_answer_to_another_caller_does_not_clear_the_first_caller(
         self,
     ) -> None:
-        known = Suspects()
+        tracker = Suspects()
         other = attrs.evolve(HARMFUL, caller="w1-b")
         for upstream in ("i-1", "i-2", "i-3"):
-            known.record_end(upstream, [HARMFUL])
-            known.clear([other])
-        assert len(known.ended_upstreams(HARMFUL)) == 3
-        assert not known.ended_upstreams(other)
+            tracker.record_end(upstream, [HARMFUL])
+            tracker.clear([other])
+        assert len(tracker.ended_upstreams(HARMFUL)) == 3
+        assert not tracker.ended_upstreams(other)
 
-    def test_a_lifted_one_counts_anew_for_all_callers(self) -> None:
-        known = Suspects()
+    def test_lifting_clears_the_ends_for_all_callers(self) -> None:
+        tracker = Suspects()
         for upstream in ("i-1", "i-2", "i-3"):
-            known.record_end(upstream, [HARMFUL])
-        known.lift(HARMFUL.content)
-        assert not known.ended_upstreams(HARMFUL)
+            tracker.record_end(upstream, [HARMFUL])
+        tracker.lift(HARMFUL.content)
+        assert not tracker.ended_upstreams(HARMFUL)
 
-    def test_the_target_is_known_until_all_with_it_are_gone(self) -> None:
-        known = Suspects()
-        known.record_end("i-1", [HARMFUL, HARMLESS])
-        known.clear([HARMFUL])
-        assert known.has_target("t1")
-        known.clear([HARMLESS, HARMLESS])
-        assert not known.has_target("t1")
+    def test_a_target_is_known_until_its_last_suspect_is_cleared(self) -> None:
+        tracker = Suspects()
+        tracker.record_end("i-1", [HARMFUL, HARMLESS])
+        tracker.clear([HARMFUL])
+        assert tracker.has_target("t1")
+        tracker.clear([HARMLESS, HARMLESS])
+        assert not tracker.has_target("t1")
 
 
 class TestBounds:
-    def test_the_oldest_suspects_are_forgotten_first(
+    def test_the_oldest_suspects_are_dropped_first(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         monkeypatch.setattr(suspects, "_SUSPECTS_MOST", 4)
-        known = Suspects()
+        tracker = Suspects()
         for upstream in ("i-1", "i-2", "i-3"):
-            known.record_end(upstream, [HARMFUL])
+            tracker.record_end(upstream, [HARMFUL])
         many = [
             Fingerprint("t", f"m{number}", f"m{number}-a")
             for number in range(9)
         ]
-        known.record_end("i-4", many)
-        assert quarantined(known) == [HARMFUL]
-        left = {suspect.fingerprint for suspect in known}
+        tracker.record_end("i-4", many)
+        assert quarantined_fingerprints(tracker) == [HARMFUL]
+        left = {suspect.fingerprint for suspect in tracker}
         assert left == {HARMFUL, *many[-2:]}
 
-    def test_quarantines_are_bounded_too(
+    def test_the_number_of_quarantined_requests_is_bounded(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         monkeypatch.setattr(suspects, "_QUARANTINED_MOST", 4)
-        known = Suspects()
+        tracker = Suspects()
         many = [
             Fingerprint("t", f"m{number}", f"m{number}-a")
             for number in range(4)
         ]
         for upstream in ("i-1", "i-2", "i-3"):
-            known.record_end(upstream, many)
-        assert quarantined(known) == many[-2:]
+            tracker.record_end(upstream, many)
+        assert quarantined_fingerprints(tracker) == many[-2:]
--- a/testing/core/test_voter_changes.py
+++ b/testing/core/test_voter_changes.py
@@ -1,4 +1,4 @@
-"""Tests of who becomes a voter where their number is bounded."""
+"""Tests of voter changes with a limit on the number of voters."""
 
 import random
 
@@ -28,7 +28,7 @@
 
 
 class Leader:
-    """A leader whose followers answer as a test says."""
+    """A leader whose followers answer on a test's command."""
 
     def __init__(self) -> None:
         snapshot = make_initial_snapshot(_VOTERS, b"", 1)
@@ -40,7 +40,7 @@
         self.now = 0.0
 
     def acknowledge(self, *identities: str) -> None:
-        """Has followers acknowledge everything now."""
+        """Makes followers acknowledge the whole log at the current time."""
         for identity in identities:
             self.replica.progress.setdefault(
                 identity, type(self.replica.progress[_VOTERS[1]])(1)
@@ -51,7 +51,7 @@
         self.replica.take_output()
 
     def decide(self, identity: str, max_voters: int) -> Voters | None:
-        """Returns the change that a learner causes, and makes it."""
+        """Makes the next change for a learner; returns its voters, or None."""
         change = decide_change(
             self.replica, [beat(identity)], self.now, max_voters
         )
@@ -67,14 +67,14 @@
 
 @pytest.fixture
 def leader() -> Leader:
-    """Returns a leader that all followers have just heard."""
-    made = Leader()
-    made.acknowledge(*_VOTERS[1:])
-    return made
+    """Returns a leader that all followers have just acknowledged."""
+    leader_of_voters = Leader()
+    leader_of_voters.acknowledge(*_VOTERS[1:])
+    return leader_of_voters
 
 
 class TestBoundedVoters:
-    def test_a_newcomer_waits_while_every_voter_is_heard(
+    def test_a_new_node_waits_while_every_voter_answers(
         self, leader: Leader
     ) -> None:
         assert leader.decide(_NEW, 3).learners == (_NEW,)
@@ -82,9 +82,7 @@
         leader.acknowledge(*_VOTERS[1:], _NEW)
         assert leader.decide(_NEW, 3) is None
 
-    def test_it_takes_the_place_of_one_that_is_silent(
-        self, leader: Leader
-    ) -> None:
+    def test_a_new_node_replaces_a_silent_voter(self, leader: Leader) -> None:
         leader.decide(_NEW, 3)
         leader.now = 20.0
         leader.acknowledge(_VOTERS[1], _NEW)
@@ -94,9 +92,9 @@
         assert set(final.voters) == {*_VOTERS[:2], _NEW}
 
     def test_a_wiped_voter_is_replaced_at_once(self, leader: Leader) -> None:
-        again = "10.0.0.3:70.d"
-        leader.decide(again, 3)
-        leader.acknowledge(_VOTERS[1], again)
-        reduced = leader.decide(again, 3)
+        successor = "10.0.0.3:70.d"
+        leader.decide(successor, 3)
+        leader.acknowledge(_VOTERS[1], successor)
+        reduced = leader.decide(successor, 3)
         assert set(reduced.voters) == set(_VOTERS[:2])
-        assert again in leader.decide(again, 3).voters
+        assert successor in leader.decide(successor, 3).voters
