--- a/src/ridgesill/app/fleet_upkeep.py
+++ b/src/ridgesill/app/fleet_upkeep.py
@@ -39,8 +39,8 @@
         orders: asks engines for their reports.
         loads: sends load and unload orders to engines.
         view: the owner's state of engines, versions and usage.
-        placement_snapshot: returns the state of a service engines on which choices among
-            them are based.
+        placement_snapshot: returns the state of a service's engines on which
+            choices among them are based.
     """
 
     def __init__(
