--- a/src/ridgesill/app/engine_orders.py
+++ b/src/ridgesill/app/engine_orders.py
@@ -1,8 +1,9 @@
-"""Orders to engines: one at a time to each, through who holds their lease.
+"""Sends orders to engines, one at a time to each, through lease holders.
 
-An engine counts the orders it has taken, and refuses one that expects another
-count. So an order whose answer was lost can't be carried out late once a later
-one was taken; repeating it at once with the same count settles its fate.
+An engine counts the orders that it accepts, and refuses an order that names
+another count. Once a later order was accepted, an order whose answer was lost
+can therefore no longer be carried out. Sending the order again at once with the
+same count shows whether the engine accepted it.
 """
 
 import asyncio
@@ -32,26 +33,26 @@
 from ridgesill.ports.http import ChannelError, HttpRequest, ResponseHead
 from ridgesill.ports.telemetry import KeptTelemetry, Telemetry
 
-# Within which an engine answers an order, in seconds, unless the answer is
-# lost; another copy goes out after that.
+# Time within which an engine answers an order, in seconds. After that the
+# answer counts as lost, and another copy of the order is sent.
 ORDER_TIMEOUT_SECONDS = 0.05
-# How often an order without an answer is given in all. When all are lost, the
-# engine gets no orders for a second and more; with three in ten lost, that
-# happened to one order in forty at three times.
-_TIMES = 5
-# A report may be some hundred milliseconds old: it is believed only when no
-# order was taken for this long.
+# Number of copies of an order that are sent while none is answered. If all are
+# lost, the engine gets no orders for more than a second. With three of ten
+# answers lost, that happened to one order in forty with three copies.
+_MAX_COPIES = 5
+# A report may be some hundred milliseconds old. It is trusted only if no order
+# was accepted for this long before it, in seconds.
 _REPORT_LAG_SECONDS = 0.8
-# For how long an engine that can't be reached gets no orders, in seconds.
+# How long an engine that cannot be reached gets no orders, in seconds.
 _SUSPEND_SECONDS = 1.0
-# For how long an engine gets no orders that reports one under way which isn't
-# known here, in seconds; base models take 0.4 to 2 s.
+# How long an engine gets no orders after it reported a load that is unknown
+# here, in seconds. A base model takes 0.4 to 2 seconds.
 _BUSY_SECONDS = 0.2
 
 
-# What a delivery without an answer says of an order; None where the engine
-# surely never got it.
-_VERDICTS = {
+# The verdict on an order without an answer; None if the engine certainly did
+# not get it.
+_VERDICT_BY_DELIVERY = {
     Delivery.NO_ANSWER: OrderVerdict.UNKNOWN,
     Delivery.UNREACHABLE: OrderVerdict.MISDIRECTED,
     Delivery.NOT_SENT: None,
@@ -60,12 +61,13 @@
 
 @attrs.frozen
 class Authority:
-    """Through whom orders to an engine are given.
+    """The lease under which an order is sent to an engine.
 
     Attributes:
-        holder: the VM that delivers them.
+        holder: the VM that delivers the order.
         token: the fencing token of its lease.
-        stamp: the last that was heard from it, on its own clock.
+        stamp: the newest stamp received from the VM, in seconds on its own
+            clock.
     """
 
     holder: str
@@ -74,11 +76,14 @@
 
 
 @attrs.frozen
-class _Wanted:
-    """An order as it was decided, of which copies are sent.
+class _PlannedOrder:
+    """An order that was decided on, and of which several copies may be sent.
 
     Attributes:
-        revision: the count of orders at which it was decided.
+        action: whether the artifact is loaded or unloaded.
+        artifact: the artifact that the order names.
+        version: the version to load; 0 for the newest.
+        revision: the order count of the engine when the order was decided on.
     """
 
     action: Action
@@ -87,7 +92,7 @@
     revision: int
 
     def to_order(self, engine: Engine, authority: Authority) -> FleetOrder:
-        """Returns a copy for who delivers it."""
+        """Returns a copy of the order for the holder that delivers it."""
         return FleetOrder(
             self.action,
             engine.name,
@@ -100,22 +105,23 @@
         )
 
 
-# Has the holder of a lease deliver an order; returns the engine's answer.
+# Has the holder of a lease deliver an order, and returns the engine's answer.
 Deliver = Callable[[FleetOrder, Authority], Awaitable[OrderAnswer]]
 
 
 class EngineOrders:
-    """Gives orders.
+    """Sends orders to engines and requests their reports.
 
     Args:
-        channels: to engines.
-        calls: how orders and reports are worded.
-        authority: returns through whom an engine can be ordered now, or None
-            when it can't; asked just before each order leaves.
-        deliver: has an order delivered.
-        hear_later_start: called with an engine and the report of a later start
-            under its name.
-        hear_leaving: called with an engine that says that it leaves.
+        channels: the HTTP connections to the engines.
+        calls: encodes orders and report requests, and decodes the answers.
+        authority: returns the lease under which an engine can be sent an order
+            now, or None if there is none. It is called just before each copy of
+            an order is sent.
+        deliver: has the holder of a lease deliver an order.
+        handle_later_start: called with an engine and the report of a later
+            start under the same name.
+        handle_leaving: called with an engine that announces that it is leaving.
     """
 
     def __init__(
@@ -124,17 +130,17 @@
         calls: EngineCalls,
         authority: Callable[[Engine], Authority | None],
         deliver: Deliver,
-        hear_later_start: Callable[[Engine, EngineReport], None] = (
+        handle_later_start: Callable[[Engine, EngineReport], None] = (
             lambda _engine, _report: None
         ),
-        hear_leaving: Callable[[Engine], None] = lambda _engine: None,
+        handle_leaving: Callable[[Engine], None] = lambda _engine: None,
     ) -> None:
         self._channels = channels
         self._calls = calls
         self._authority = authority
         self._deliver = deliver
-        self._handle_later_start = hear_later_start
-        self._handle_leaving = hear_leaving
+        self._handle_later_start = handle_later_start
+        self._handle_leaving = handle_leaving
         self.telemetry: Telemetry = KeptTelemetry()
         self.unknown_words = UnknownWords(lambda: self.telemetry)
         self._sent = SentOrders()
@@ -142,15 +148,15 @@
         self._loop = asyncio.get_running_loop()
 
     def discard_engine(self, name: str) -> None:
-        """Forgets an engine that is gone."""
+        """Discards the state kept for an engine that no longer exists."""
         self._locks.pop(name, None)
 
     def late_orders(self, instance: str, start: int) -> list[SentOrder]:
-        """Returns orders of earlier starts that a start may carry out."""
+        """Returns orders to other starts that a start may still carry out."""
         return self._sent.late_orders(instance, start, self._loop.time())
 
     def prune_expired(self) -> None:
-        """Forgets orders that can't be carried out any more."""
+        """Discards orders that can no longer be carried out."""
         self._sent.prune_expired(self._loop.time())
 
     async def send_order(
@@ -162,64 +168,83 @@
         *,
         again: bool = False,
     ) -> OrderVerdict:
-        """Gives an order until its fate is known.
+        """Sends an order until it is answered or the copies are used up.
 
         Args:
-            action: what to do.
-            engine: which engine.
-            artifact: what to load or unload.
-            version: to load; 0 for the newest.
-            again: whether it only asks how an order taken before stands.
+            action: whether to load or to unload the artifact.
+            engine: the engine that gets the order.
+            artifact: the artifact to load or unload.
+            version: the version to load; 0 for the newest.
+            again: whether the order was accepted before and only its progress
+                is queried.
+
+        Returns:
+            The outcome; REFUSED also if no copy could be sent.
         """
         lock = self._locks.setdefault(engine.name, asyncio.Lock())
         async with lock:
             if engine.is_superseded:
                 return OrderVerdict.MISDIRECTED
-            if engine.revision is None and not await self._learn(engine):
+            if engine.revision is None and not await self._update_from_report(
+                engine
+            ):
                 return OrderVerdict.REFUSED
-            # All copies name this count, whatever is learned meanwhile: a copy
-            # that named none came seconds late, when its place was given away.
-            wanted = _Wanted(action, artifact, version, engine.revision or 0)
-            verdict = await self._repeat(wanted, engine, again)
+            # All copies name this order count, whatever is learned meanwhile. A
+            # copy without a count was carried out seconds late, after its slot
+            # had been given to another adapter.
+            planned = _PlannedOrder(
+                action, artifact, version, engine.revision or 0
+            )
+            verdict = await self._send_copies(planned, engine, again)
             if verdict is None:
-                # Nothing was sent: the engine has refused nothing.
+                # No copy was sent, so the engine has refused nothing and its
+                # state is left unchanged.
                 return OrderVerdict.REFUSED
             if not again:
-                self._apply_verdict(engine, wanted, verdict)
+                self._apply_verdict(engine, planned, verdict)
             return verdict
 
-    async def _repeat(
-        self, wanted: _Wanted, engine: Engine, again: bool
+    async def _send_copies(
+        self, planned: _PlannedOrder, engine: Engine, again: bool
     ) -> OrderVerdict | None:
-        """Sends copies of an order until one is answered; None if none was."""
-        unknown = False
-        for _ in range(_TIMES):
-            verdict = await self._send_once(wanted, engine, again)
+        """Sends copies of an order until one is answered.
+
+        Returns:
+            The verdict; None if no copy was sent.
+        """
+        is_unknown = False
+        for _ in range(_MAX_COPIES):
+            verdict = await self._send_once(planned, engine, again)
             if verdict is None:
-                # Nothing was sent, or no more than what came before.
+                # This copy was not sent; earlier ones may have been.
                 break
-            if verdict is OrderVerdict.REFUSED and unknown:
-                # Refused now, but a copy before it may have been taken.
+            if verdict is OrderVerdict.REFUSED and is_unknown:
+                # This copy was refused, but the engine may have accepted an
+                # earlier one.
                 engine.last_order_at = self._loop.time()
                 break
             if verdict is not OrderVerdict.UNKNOWN:
                 return verdict
-            unknown = True
-        return OrderVerdict.UNKNOWN if unknown else None
+            is_unknown = True
+        return OrderVerdict.UNKNOWN if is_unknown else None
 
     async def _send_once(
-        self, wanted: _Wanted, engine: Engine, again: bool
+        self, planned: _PlannedOrder, engine: Engine, again: bool
     ) -> OrderVerdict | None:
-        """Sends one copy, if it may leave; None if it surely wasn't sent."""
+        """Sends one copy of an order if that is safe.
+
+        Returns:
+            The verdict; None if the copy was certainly not sent.
+        """
         authority = self._authority(engine)
         if authority is None or engine.is_superseded:
             return None
         now = self._loop.time()
         if not engine.is_order_safe(
-            wanted.action, wanted.artifact, wanted.revision, now
+            planned.action, planned.artifact, planned.revision, now
         ):
             return None
-        order = wanted.to_order(engine, authority)
+        order = planned.to_order(engine, authority)
         if not self._is_safe_after_restart(engine, order, now):
             return None
         sent = self._sent.record(engine.instance, engine.start, order, now)
@@ -231,11 +256,14 @@
     def _is_safe_after_restart(
         self, engine: Engine, order: FleetOrder, now: float
     ) -> bool:
-        """Whether an order does no harm should the engine start again.
+        """Returns whether an order does no harm if the engine restarts.
+
+        The order and earlier ones without an answer may then run one after
+        another on an empty engine that starts at order count 0, before the
+        restart is noticed here. Four such loads in a row exceeded three adapter
+        slots.
 
-        Together with those without an answer it may then run on an empty
-        engine, from its first count on, before anybody hears of the restart:
-        four loads in a row took one of three places over them.
+        If the order is unsafe, the engine is suspended.
         """
         chain = self._sent.possible_loads_after(engine.instance, order, now)
         if fits_from_empty(engine.spec, chain):
@@ -253,29 +281,30 @@
         return False
 
     def _apply_verdict(
-        self, engine: Engine, wanted: _Wanted, verdict: OrderVerdict
+        self, engine: Engine, planned: _PlannedOrder, verdict: OrderVerdict
     ) -> None:
-        """Notes what an order did to an engine.
+        """Updates the engine with the outcome of an order.
 
-        A question how an earlier order stands changes nothing there.
+        It is not called for a query of an order that was accepted before.
         """
         now = self._loop.time()
         if verdict is OrderVerdict.TAKEN or (
-            verdict is OrderVerdict.HOLDS and wanted.action is Action.UNLOAD
+            verdict is OrderVerdict.HOLDS and planned.action is Action.UNLOAD
         ):
-            engine.record_accepted_order(wanted.revision, now)
+            engine.record_accepted_order(planned.revision, now)
         elif verdict is OrderVerdict.UNKNOWN:
-            if wanted.action is Action.LOAD:
-                until = now + UNANSWERED_SECONDS
-                load = UnansweredLoad(until, wanted.revision)
-                engine.unanswered[wanted.artifact] = load
+            if planned.action is Action.LOAD:
+                expires_at = now + UNANSWERED_SECONDS
+                load = UnansweredLoad(expires_at, planned.revision)
+                engine.unanswered[planned.artifact] = load
             mark_revision_unknown(engine, "no_answer")
             engine.suspended_until = now + _SUSPEND_SECONDS
         elif verdict is OrderVerdict.MISDIRECTED:
             engine.suspended_until = now + _SUSPEND_SECONDS
         elif verdict is OrderVerdict.REFUSED and not engine.is_busy():
             engine.suspended_until = now + _REPORT_LAG_SECONDS
-            # A report from before the refusal would tell the same count.
+            # A report that was made before the refusal would show the same
+            # count.
             engine.last_order_at = now
             mark_revision_unknown(engine, "refused")
 
@@ -286,15 +315,19 @@
         engine: Engine,
         again: bool,
     ) -> OrderVerdict | None:
-        """Returns what became of an order; None if it surely wasn't sent."""
-        began = self._loop.time()
-        # What was believed as it left, not once its answer is there.
+        """Has a copy of an order delivered, and logs the outcome.
+
+        Returns:
+            The verdict; None if the copy was certainly not sent.
+        """
+        began_at = self._loop.time()
+        # These are logged as they were when the order was sent.
         places = engine.used_adapter_slots()
         unanswered = len(engine.unanswered)
         answer = await self._deliver(order, authority)
-        verdict = self._read(answer)
-        said = verdict.value if verdict else answer.delivery.value
-        self.telemetry.note_order(order.action.value, said)
+        verdict = self._read_verdict(answer)
+        outcome = verdict.value if verdict else answer.delivery.value
+        self.telemetry.note_order(order.action.value, outcome)
         log_message(
             "fleet:order",
             action=order.action.value,
@@ -308,23 +341,25 @@
             again=again,
             places=places,
             unanswered=unanswered,
-            verdict=said,
+            verdict=outcome,
             status=answer.status,
             detail=answer.detail,
-            seconds=round(self._loop.time() - began, 4),
+            seconds=round(self._loop.time() - began_at, 4),
         )
         if answer.leaves:
             self._handle_leaving(engine)
         return verdict
 
-    def _read(self, answer: OrderAnswer) -> OrderVerdict | None:
+    def _read_verdict(self, answer: OrderAnswer) -> OrderVerdict | None:
+        """Returns the verdict that an answer or its absence stands for."""
         if answer.delivery is Delivery.ANSWERED:
             return self._calls.read_verdict(answer.status)
-        return _VERDICTS[answer.delivery]
+        return _VERDICT_BY_DELIVERY[answer.delivery]
 
     async def _exchange(
         self, address: str, request: HttpRequest
     ) -> tuple[ResponseHead, bytes]:
+        """Sends a request to an engine, and returns the answer."""
         exchange = await self._channels.send(address, request)
         try:
             head = await exchange.read_head()
@@ -333,20 +368,24 @@
             exchange.cancel()
 
     async def refresh_report(self, engine: Engine) -> None:
-        """Learns what an engine holds before an order needs it."""
+        """Requests a report before an order needs it, if one is needed."""
         lock = self._locks.setdefault(engine.name, asyncio.Lock())
         async with lock:
             if engine.needs_report(self._loop.time()):
-                await self._learn(engine)
+                await self._update_from_report(engine)
+
+    async def _update_from_report(self, engine: Engine) -> bool:
+        """Requests a report of an engine and updates the engine with it.
 
-    async def _learn(self, engine: Engine) -> bool:
-        """Learns how many orders an engine has taken, and what it holds."""
-        known = engine.revision
+        Returns:
+            Whether the order count is known, so that orders can be sent.
+        """
+        known_revision = engine.revision
         engine.report_requested_at = self._loop.time()
         wait = engine.last_order_at + _REPORT_LAG_SECONDS - self._loop.time()
-        if known is None and wait > 0:
+        if known_revision is None and wait > 0:
             await asyncio.sleep(wait)
-        report = await self._ask_report(engine)
+        report = await self._request_report(engine)
         if report is None:
             engine.suspended_until = self._loop.time() + _SUSPEND_SECONDS
             return False
@@ -354,8 +393,9 @@
             engine.is_superseded = True
             self._handle_later_start(engine, report)
             return False
-        if known is not None and report.revision < known:
-            # From before the last order; it is asked again.
+        if known_revision is not None and report.revision < known_revision:
+            # The report predates the last order; another one is requested
+            # later.
             return True
         engine.apply_report(report, self._loop.time())
         if engine.revision is None:
@@ -363,7 +403,8 @@
             return False
         return True
 
-    async def _ask_report(self, engine: Engine) -> EngineReport | None:
+    async def _request_report(self, engine: Engine) -> EngineReport | None:
+        """Requests a report; returns None if there is no usable answer."""
         request = self._calls.ask_report(engine.name, engine.address)
         try:
             async with asyncio.timeout(ORDER_TIMEOUT_SECONDS):
@@ -399,7 +440,12 @@
 
 
 def mark_revision_unknown(engine: Engine, reason: str) -> None:
-    """Has an engine asked how many orders it has taken before the next one."""
+    """Has the engine's order count requested before the next order.
+
+    Args:
+        engine: the engine.
+        reason: the reason for the log.
+    """
     log_message(
         "fleet:revision_forgotten",
         upstream=engine.name,
--- a/src/ridgesill/app/order_holder.py
+++ b/src/ridgesill/app/order_holder.py
@@ -1,4 +1,4 @@
-"""A VM's part in delivering orders to the engines whose lease it holds."""
+"""Delivers orders to the engines whose order lease this VM holds."""
 
 import asyncio
 from collections.abc import Callable
@@ -19,18 +19,18 @@
 from ridgesill.ports.dialect import EngineCalls
 from ridgesill.ports.http import ChannelError
 
-# How much of an engine's answer goes into the log, in bytes.
-_DETAIL_MOST = 80
+# Greatest length of the part of an engine's answer that is logged, in bytes.
+_MAX_DETAIL_BYTES = 80
 
 
 class OrderHolder:
-    """Tells the leader that it is there, and delivers what it is given.
+    """Sends stamps to the leader and delivers the orders that it is sent.
 
     Args:
-        control: this node's control plane; tells who leads.
-        channels: to engines.
-        calls: how orders are worded.
-        hear: takes this node's own word while it leads itself.
+        control: the control plane of this node, which knows the leader.
+        channels: the HTTP connections to the engines.
+        calls: encodes orders and decodes the answers.
+        handle_alive: called with this node's own message while the node leads.
     """
 
     def __init__(
@@ -38,29 +38,29 @@
         control: Control,
         channels: UpstreamChannels,
         calls: EngineCalls,
-        hear: Callable[[HolderAlive], None],
+        handle_alive: Callable[[HolderAlive], None],
     ) -> None:
         self._control = control
         self._channels = channels
         self._calls = calls
-        self._hear = hear
+        self._handle_alive = handle_alive
         self._loop = asyncio.get_running_loop()
         self._gate = OrderGate(control.node.name, self._loop.time)
 
     async def run(self) -> None:
-        """Sends stamps to whoever leads, until cancelled."""
+        """Sends stamps to the current leader until cancelled."""
         node = self._control.node
         while True:
             alive = HolderAlive(node.name, node.data_centre, self._loop.time())
             leader = self._control.leader_address()
             if leader == node.address:
-                self._hear(alive)
+                self._handle_alive(alive)
             elif leader:
                 self._control.peers.send(leader, alive)
             await asyncio.sleep(STAMP_INTERVAL_SECONDS)
 
     async def handle_order(self, message: DeliverOrder) -> OrderAnswer:
-        """Delivers an order, if its word is fresh."""
+        """Delivers an order if it is fresh and meant for this holder."""
         order = message.order
         if not self._gate.may_deliver(
             order.holder, message.stamp, message.term
@@ -72,14 +72,17 @@
                 age=round(self._loop.time() - message.stamp, 3),
                 term=message.term,
             )
-            return OrderAnswer(Delivery.NOT_SENT, "its word is too old")
+            return OrderAnswer(
+                Delivery.NOT_SENT,
+                "the order is too old or for another holder; not sent",
+            )
         return await deliver_order(self._channels, self._calls, order)
 
 
 async def deliver_order(
     channels: UpstreamChannels, calls: EngineCalls, order: FleetOrder
 ) -> OrderAnswer:
-    """Sends an order to its engine; returns what became of it."""
+    """Sends an order to its engine and returns the outcome."""
     request = calls.write_order(order)
     try:
         async with asyncio.timeout(ORDER_TIMEOUT_SECONDS):
@@ -94,6 +97,6 @@
         return OrderAnswer(delivery, str(error))
     except TimeoutError:
         return OrderAnswer(Delivery.NO_ANSWER, "no answer in time")
-    detail = body[:_DETAIL_MOST].decode("latin-1")
+    detail = body[:_MAX_DETAIL_BYTES].decode("latin-1")
     leaves = calls.is_leaving(head)
     return OrderAnswer(Delivery.ANSWERED, detail, head.status, leaves)
--- a/src/ridgesill/app/order_lease_keeper.py
+++ b/src/ridgesill/app/order_lease_keeper.py
@@ -1,4 +1,4 @@
-"""The leader's part in order leases: grants them, and orders through them."""
+"""Grants order leases and has orders delivered, on the node that leads."""
 
 import asyncio
 from collections.abc import Callable, Coroutine, Iterable
@@ -26,14 +26,14 @@
 )
 from ridgesill.ports.peers import PeerError
 
-# Above what an engine has to answer an order, for the way through the holder of
-# its lease and back, in seconds.
-_DELIVERY_MARGIN = 0.05
+# Time for an order to reach its holder and for the answer to return, in
+# seconds. It is added to the time that an engine has to answer.
+_RELAY_MARGIN_SECONDS = 0.05
 # How long an engine must be gone before its order lease is released, in
-# seconds; longer than any lease, and than most restarts.
-_RELEASE_AFTER = 60.0
-# How long a grant of a lease may take to be applied, in seconds; it is proposed
-# again after that.
+# seconds. This is longer than any lease and than most restarts.
+_RELEASE_AFTER_SECONDS = 60.0
+# How long the grant of a lease may take to be applied to the log, in seconds.
+# After that it is proposed again.
 _PROPOSE_SECONDS = 2.0
 
 
@@ -41,10 +41,10 @@
     """Keeps order leases granted while this node leads the log.
 
     Args:
-        control: the control plane; its log holds the grants.
-        leases: what is decided of them.
-        holder: this node's own part in delivering orders.
-        spawn: runs a proposal on its own.
+        control: the control plane, whose log records the grants.
+        leases: decides which VM may hold which lease.
+        holder: delivers orders for which this node itself holds the lease.
+        spawn: starts a task that proposes a grant or a release.
     """
 
     def __init__(
@@ -60,12 +60,19 @@
         self._spawn = spawn
         self._loop = asyncio.get_running_loop()
         self._term = 0
-        # Addresses whose lease is being granted or released.
+        # Addresses for which a grant or a release has been proposed and not
+        # applied.
         self._proposed: set[str] = set()
         self._unused_since: dict[str, float] = {}
 
     def begin(self, term: int, ordered_until: float) -> None:
-        """Begins a leadership; an earlier leader sent orders until a moment."""
+        """Starts a term of leadership.
+
+        Args:
+            term: the log term.
+            ordered_until: until when an earlier leader may have sent orders, in
+                seconds.
+        """
         self._term = term
         self._leases.begin(self._loop.time(), ordered_until)
 
@@ -74,7 +81,11 @@
         return self._leases.delivered_until
 
     def handle_alive(self, alive: HolderAlive) -> bool:
-        """Notes that a VM can deliver orders; returns whether that is new."""
+        """Records that a VM can deliver orders.
+
+        Returns:
+            Whether the VM was not reachable before.
+        """
         now = self._loop.time()
         was_heard = self._leases.is_reachable(alive.name, now)
         self._leases.record_stamp(
@@ -83,7 +94,7 @@
         return not was_heard
 
     def update_holders(self, engines: Iterable[Engine]) -> None:
-        """Notes which engines can be ordered now."""
+        """Updates for each engine whether some VM can deliver orders to it."""
         now = self._loop.time()
         owners = self._control.state.owners
         for engine in engines:
@@ -91,7 +102,7 @@
             engine.has_holder = holder is not None
 
     def orders_possible_from(self, engines: Iterable[Engine]) -> float:
-        """Returns from when some engine can be ordered."""
+        """Returns when at least one of the engines can be sent an order."""
         addresses = [engine.address for engine in engines]
         owners = self._control.state.owners
         return self._leases.orders_possible_from(
@@ -101,19 +112,20 @@
     # -- grants --------------------------------------------------------
 
     def maintain_leases(self, engines: Iterable[Engine]) -> None:
-        """Grants what nobody holds, and releases what nobody needs."""
+        """Grants free leases, and releases those of engines that are gone."""
         known = list(engines)
         self._grant(known)
         self._release({engine.address for engine in known})
 
     def _grant(self, engines: Iterable[Engine]) -> None:
-        places = [
+        """Proposes grants for engines that have no holder."""
+        locations = [
             EngineLocation(engine.address, engine.data_centre)
             for engine in engines
             if engine.address not in self._proposed
         ]
         grants = self._leases.choose_grants(
-            places,
+            locations,
             self._control.state.owners,
             self._control.node.name,
             self._loop.time(),
@@ -125,10 +137,10 @@
             self._propose(grant.address, command)
 
     def _release(self, used: set[str]) -> None:
-        """Releases what has long been gone, so that the log's state is bounded.
+        """Releases leases of lost engines, so that the log's state is bounded.
 
         Args:
-            used: addresses of the engines that are there.
+            used: the addresses of the engines that exist.
         """
         now = self._loop.time()
         owners = self._control.state.owners
@@ -137,19 +149,24 @@
                 self._unused_since.pop(address, None)
                 continue
             since = self._unused_since.setdefault(address, now)
-            if now - since > _RELEASE_AFTER and address not in self._proposed:
+            if (
+                now - since > _RELEASE_AFTER_SECONDS
+                and address not in self._proposed
+            ):
                 del self._unused_since[address]
                 pool = ORDER_POOL_PREFIX + address
                 release = ReleasePool(pool, owners[pool].epoch)
                 self._propose(address, release)
 
     def _propose(self, address: str, command: GrantPool | ReleasePool) -> None:
+        """Starts to propose a grant or a release."""
         self._proposed.add(address)
         self._spawn(self._await_proposal(address, command))
 
     async def _await_proposal(
         self, address: str, command: GrantPool | ReleasePool
     ) -> None:
+        """Proposes a grant or a release, and logs the outcome."""
         try:
             done = await self._control.propose(command, _PROPOSE_SECONDS)
         except UnavailableError as error:
@@ -165,7 +182,7 @@
     # -- orders --------------------------------------------------------
 
     def find_authority(self, engine: Engine) -> Authority | None:
-        """Returns who delivers orders to an engine now; None if nobody."""
+        """Returns the lease under which an engine gets orders, if any."""
         if engine.address in self._proposed:
             return None
         owners = self._control.state.owners
@@ -186,7 +203,7 @@
         address = self._control.address_of(authority.holder)
         try:
             answer: OrderAnswer = await self._control.peers.call(
-                address, message, ORDER_TIMEOUT_SECONDS + _DELIVERY_MARGIN
+                address, message, ORDER_TIMEOUT_SECONDS + _RELAY_MARGIN_SECONDS
             )
         except PeerError as error:
             return OrderAnswer(Delivery.NO_ANSWER, str(error))
--- a/src/ridgesill/core/fleet/copies.py
+++ b/src/ridgesill/core/fleet/copies.py
@@ -1,9 +1,10 @@
-"""Which adapters deserve another copy, and where it should go.
+"""Which adapters get another copy, and on which engine.
 
-Load pattern: a few adapters that get much of what is asked for. One engine then
-reads for them without end while others are idle. A copy takes a place that
-somebody else's adapter would have, so that requests in progress, which are many
-wherever answers are long, are no reason for one: prompts that wait are.
+Load pattern: a few adapters receive a large part of the requests. One engine
+then reads prompts for them without a pause while other engines are idle. Every
+copy takes a slot from another adapter. Many requests in progress are therefore
+no reason for a copy, as long answers alone cause them. Prompts that wait to be
+read are one.
 """
 
 from collections.abc import Iterator
@@ -12,122 +13,138 @@
 from ridgesill.core.fleet.placement import LoadTarget, PlacementSnapshot
 from ridgesill.core.pool.popularity import Popularity
 
-# Share of the requests from which an adapter may get another copy.
+# Least share of all requests for which an adapter may get another copy.
 _SHARE = 0.015
-# Seconds of reading ahead at all its holders from which it gets one, about half
-# of a goal; or the share of their places in the batch, beyond which requests
-# wait for each other there.
+# An adapter gets another copy if all engines that hold it have at least this
+# backlog, in seconds, which is about half of a goal; or if at least this share
+# of their batch slots is in use, beyond which requests wait for each other.
 _BACKLOG_SECONDS = 0.3
-_FULL = 0.5
-# What an engine that gets a copy may have of each, as a share of the least at a
-# holder; where all are as busy, a copy helps nobody.
-_IDLER_BACKLOG = 0.4
-_IDLER_BUSY = 0.7
-# Share of the requests from which an adapter gets a copy in every data centre:
-# what it saves in bytes between them then pays for the load within seconds,
-# where places are to spare.
-_LOCAL_SHARE = 0.035
-# Loads on their way to an engine that may get a copy; the rest is for misses.
-_LOADING_MOST = 2
-# How many adapters are looked at.
-_MOST = 12
-# Requests counted before shares mean something.
-_AFTER = 60.0
-# What gives way must be worth less than this share of what gets a copy.
+_FULL_BATCH_SHARE = 0.5
+# Greatest backlog and greatest use of batch slots on the engine that gets the
+# copy, as shares of the least among the engines that hold the adapter. Where
+# all engines are about as busy, a copy does not help.
+_IDLE_BACKLOG_SHARE = 0.4
+_IDLE_BUSY_SHARE = 0.7
+# Least share of all requests for which an adapter gets a copy in every data
+# centre, where slots are spare. The traffic between data centres that it saves
+# is worth the load within seconds.
+_PER_DATA_CENTRE_SHARE = 0.035
+# Greatest number of loads in progress on an engine that may load a copy. The
+# remaining loads are reserved for requests whose adapter is missing.
+_MAX_LOADING = 2
+# Number of most requested adapters that are considered.
+_MAX_ADAPTERS = 12
+# Least decayed number of requests from which shares are meaningful.
+_MIN_REQUESTS = 60.0
+# An adapter that is unloaded for a copy must be worth less than this share of
+# the adapter that gets the copy.
 _VICTIM_SHARE = 1 / 6
 
 
 def choose_copies(
     popularity: Popularity, placement_snapshot: PlacementSnapshot
 ) -> Iterator[tuple[str, LoadTarget]]:
-    """Yields adapters that deserve a copy, and where it should go.
+    """Yields the adapters that get another copy, and where to load it.
 
-    The caller has each under way before it asks for the next one.
+    The caller must order each load before it asks for the next one, as each
+    choice depends on the loads in progress.
+
+    Args:
+        popularity: the decayed request counts by adapter.
+        placement_snapshot: the engines that may be chosen.
     """
     now = placement_snapshot.now
     total = popularity.total(now)
-    if total < _AFTER:
+    if total < _MIN_REQUESTS:
         return
-    for artifact, value in popularity.top(_MOST, now):
+    for artifact, value in popularity.top(_MAX_ADAPTERS, now):
         if value < _SHARE * total:
             return
         if not is_adapter(artifact):
             continue
-        choice = _choose_successor(placement_snapshot, artifact)
-        if choice is None and value >= _LOCAL_SHARE * total:
-            choice = _choose_elsewhere(placement_snapshot, artifact)
-        if choice is None:
-            choice = _choose_idler(placement_snapshot, artifact)
-        if choice is None:
+        target = _choose_drain_target(placement_snapshot, artifact)
+        if target is None and value >= _PER_DATA_CENTRE_SHARE * total:
+            target = _choose_in_other_data_centre(placement_snapshot, artifact)
+        if target is None:
+            target = _choose_idle_engine(placement_snapshot, artifact)
+        if target is None:
             continue
-        victim_worth = (
-            placement_snapshot.worth(choice.victim) if choice.victim else 0.0
+        victim_value = (
+            placement_snapshot.copy_value(target.victim)
+            if target.victim
+            else 0.0
         )
-        if victim_worth < value * _VICTIM_SHARE:
-            yield artifact, choice
+        if victim_value < value * _VICTIM_SHARE:
+            yield artifact, target
 
 
-def _choose_successor(
+def _choose_drain_target(
     placement_snapshot: PlacementSnapshot, artifact: str
 ) -> LoadTarget | None:
-    """Returns an engine for what only engines hold that leave.
+    """Returns where to load an adapter that only draining engines hold.
 
-    The next request for it would wait for the load.
+    Without the copy the next request for it would wait for a load.
     """
     holders = [e for e in placement_snapshot.engines if artifact in e.held]
-    is_coming = any(artifact in e.loading for e in placement_snapshot.engines)
-    if is_coming or not holders or not all(e.draining for e in holders):
+    is_loading = any(artifact in e.loading for e in placement_snapshot.engines)
+    if is_loading or not holders or not all(e.draining for e in holders):
         return None
-    return placement_snapshot.choose(artifact, max_loading=_LOADING_MOST)
+    return placement_snapshot.choose(artifact, max_loading=_MAX_LOADING)
 
 
-def _choose_elsewhere(
+def _choose_in_other_data_centre(
     placement_snapshot: PlacementSnapshot, artifact: str
 ) -> LoadTarget | None:
-    """Returns an engine in a data centre without the adapter."""
-    served = {
+    """Returns an engine in a data centre that lacks the adapter."""
+    covered_data_centres = {
         engine.data_centre
         for engine in placement_snapshot.engines
         if artifact in engine.held or artifact in engine.loading
     }
-    near = {
-        e.name for e in placement_snapshot.engines if e.data_centre in served
+    covered = {
+        e.name
+        for e in placement_snapshot.engines
+        if e.data_centre in covered_data_centres
     }
-    avoid = near | placement_snapshot.crowded_engines()
+    avoid = covered | placement_snapshot.crowded_engines()
     return placement_snapshot.choose(
-        artifact, avoid=avoid, max_loading=_LOADING_MOST
+        artifact, avoid=avoid, max_loading=_MAX_LOADING
     )
 
 
-def _choose_idler(
+def _choose_idle_engine(
     placement_snapshot: PlacementSnapshot, artifact: str
 ) -> LoadTarget | None:
     """Returns an engine with much less to do than all holders of an adapter.
 
-    Copies on their way are waited for once there are as many as holders.
+    No further copy is chosen while as many copies are being loaded as there are
+    holders.
     """
     holders = [e for e in placement_snapshot.engines if artifact in e.held]
-    coming = sum(artifact in e.loading for e in placement_snapshot.engines)
-    if not holders or coming >= len(holders):
+    loading_copies = sum(
+        artifact in e.loading for e in placement_snapshot.engines
+    )
+    if not holders or loading_copies >= len(holders):
         return None
     backlog = min(map(placement_snapshot.backlog, holders))
     share = min(map(placement_snapshot.busy_share, holders))
-    is_behind = backlog >= _BACKLOG_SECONDS
-    is_full = share >= _FULL
-    if not is_behind and not is_full:
+    has_backlog = backlog >= _BACKLOG_SECONDS
+    is_full = share >= _FULL_BATCH_SHARE
+    if not has_backlog and not is_full:
         return None
     busier = {
         engine.name
         for engine in placement_snapshot.engines
         if (
-            is_behind
-            and placement_snapshot.backlog(engine) > _IDLER_BACKLOG * backlog
+            has_backlog
+            and placement_snapshot.backlog(engine)
+            > _IDLE_BACKLOG_SHARE * backlog
         )
         or (
             is_full
-            and placement_snapshot.busy_share(engine) > _IDLER_BUSY * share
+            and placement_snapshot.busy_share(engine) > _IDLE_BUSY_SHARE * share
         )
     }
     return placement_snapshot.choose(
-        artifact, avoid=busier, max_loading=_LOADING_MOST
+        artifact, avoid=busier, max_loading=_MAX_LOADING
     )
--- a/src/ridgesill/core/fleet/copy_benefit.py
+++ b/src/ridgesill/core/fleet/copy_benefit.py
@@ -1,8 +1,9 @@
-"""Whether a request should wait for a copy rather than for a holder.
+"""Whether a request should wait for another copy of its adapter.
 
-Load pattern: a few adapters get long prompts faster than the engine that holds
-them reads. Five in a row then wait 1 to 2 s for it, while other engines read
-nothing, and copies by popularity come only after many requests.
+Load pattern: a few adapters receive long prompts faster than the engine that
+holds them can read. Five prompts in a row then wait 1 to 2 seconds while other
+engines are idle, because copies by popularity are loaded only after many
+requests.
 """
 
 from collections.abc import Callable
@@ -15,9 +16,9 @@
 from ridgesill.core.fleet.placement import PlacementSnapshot
 from ridgesill.core.fleet.wants import ArtifactWaiters
 
-# How much less likely a request must be late with a copy loaded for it than at
-# the best holder. A load costs a third of a request's worth. Emulated, five
-# seeds: 0.002 to 0.004 of the worth better than 0.5.
+# Least reduction of the probability of being late for which a copy is loaded. A
+# load costs a third of a request's value. With 0.3 the share of request value
+# that is earned was 0.002 to 0.004 higher than with 0.5.
 _COPY_GAIN = 0.3
 
 
@@ -28,20 +29,20 @@
     now: float,
     make_placement_snapshot: Callable[[], PlacementSnapshot],
 ) -> bool:
-    """Whether all holders are likely late and a load elsewhere isn't.
+    """Returns whether a new copy is likely in time while no holder is.
 
     Args:
-        want: of the request.
-        holder: the best of them.
-        backlogs: what engines have yet to read.
-        now: the clock, in seconds.
+        want: the message that asks for the artifact.
+        holder: the best engine that holds the adapter.
+        backlogs: the prompts that engines have yet to read.
+        now: the owner's clock, in seconds.
         make_placement_snapshot: returns the snapshot from which an engine is
             chosen. It scans all that engines hold, so it is called only when
             the holders are likely to be late.
     """
-    first = predict_first_event(want, holder, backlogs, now)
-    late_there = share_late(want.goal - first)
-    if late_there < _COPY_GAIN:
+    seconds = predict_first_event(want, holder, backlogs, now)
+    late_share_at_holder = share_late(want.goal - seconds)
+    if late_share_at_holder < _COPY_GAIN:
         return False
     waiting = ArtifactWaiters(want, now, [make_waiter(want, backlogs, now)])
 
@@ -49,11 +50,11 @@
         return count_late(waiting, engine, backlogs, now)
 
     placement_snapshot = make_placement_snapshot()
-    # A copy takes only places to spare.
+    # A copy uses only spare adapter slots.
     avoid = placement_snapshot.crowded_engines() | set(want.avoid)
-    choice = placement_snapshot.choose(
+    target = placement_snapshot.choose(
         want.artifact, want.data_centre, avoid, lateness=lateness
     )
-    if choice is None:
+    if target is None:
         return False
-    return late_there - lateness(choice.engine) > _COPY_GAIN
+    return late_share_at_holder - lateness(target.engine) > _COPY_GAIN
--- a/src/ridgesill/core/fleet/engine_capacity.py
+++ b/src/ridgesill/core/fleet/engine_capacity.py
@@ -1,6 +1,7 @@
-"""What fits in an engine: places for adapters, megabytes for all it holds.
+"""What fits in an engine: adapters by slots, all artifacts by megabytes.
 
-An engine that is ordered over either falls, with all that runs there.
+An engine that is ordered to load more than fits crashes, and all requests on it
+are lost.
 """
 
 from collections.abc import Collection, Sequence
@@ -9,7 +10,7 @@
 
 
 def is_adapter(artifact: str) -> bool:
-    """Whether an artifact is an adapter rather than a base model."""
+    """Returns whether an artifact is an adapter rather than a base model."""
     return "/" in artifact
 
 
@@ -19,16 +20,20 @@
 
 
 def count_adapters(artifacts: Collection[str]) -> int:
-    """Returns the places that artifacts take; base models take none."""
+    """Returns the number of adapter slots that artifacts take."""
     return sum(map(is_adapter, artifacts))
 
 
 def total_weights_mb(spec: EngineSpec, artifacts: Collection[str]) -> float:
-    """Returns the megabytes of artifacts; unknown models weigh nothing."""
-    return sum(_weigh_one(spec, artifact) for artifact in artifacts)
+    """Returns the memory that artifacts take, in megabytes.
+
+    Artifacts of a model that the specification lacks count as 0.
+    """
+    return sum(_artifact_mb(spec, artifact) for artifact in artifacts)
 
 
-def _weigh_one(spec: EngineSpec, artifact: str) -> float:
+def _artifact_mb(spec: EngineSpec, artifact: str) -> float:
+    """Returns the memory that one artifact takes, in megabytes."""
     model = spec.model(model_of(artifact))
     if model is None:
         return 0.0
@@ -36,20 +41,20 @@
 
 
 def fits(spec: EngineSpec, artifacts: Collection[str]) -> bool:
-    """Whether an engine can hold artifacts together."""
+    """Returns whether an engine can hold a set of artifacts together."""
     if count_adapters(artifacts) > spec.adapter_slots:
         return False
     return (
-        _holds_anything(spec)
+        _fits_any_combination(spec)
         or total_weights_mb(spec, artifacts) <= spec.weights_mb
     )
 
 
-def _holds_anything(spec: EngineSpec) -> bool:
-    """Whether all models and full places fit, so that nothing need be weighed.
+def _fits_any_combination(spec: EngineSpec) -> bool:
+    """Returns whether all models and full adapter slots fit in memory.
 
-    Every want is weighed against every engine, and most have megabytes to
-    spare.
+    This holds for most engines and saves summing the megabytes for every pair
+    of a request and an engine.
     """
     adapters = max((model.adapter_mb for model in spec.models), default=0.0)
     models = sum(model.weights_mb for model in spec.models)
@@ -57,22 +62,22 @@
 
 
 def fits_from_empty(spec: EngineSpec, chain: Sequence[Collection[str]]) -> bool:
-    """Whether an empty engine has room for a chain of loads.
+    """Returns whether an empty engine can hold what a chain of loads brings.
 
     Args:
-        spec: of the engine.
-        chain: the artifacts that may be loaded at each count of orders, of
-            which one is.
+        spec: the capacity of the engine.
+        chain: for each order count the artifacts of which at most one is
+            loaded.
     """
-    together = set().union(*chain)
-    if fits(spec, together):
+    all_loads = set().union(*chain)
+    if fits(spec, all_loads):
         return True
-    places = sum(any(map(is_adapter, loads)) for loads in chain)
+    adapters = sum(any(map(is_adapter, loads)) for loads in chain)
     heaviest = sum(
-        max((_weigh_one(spec, artifact) for artifact in loads), default=0.0)
+        max((_artifact_mb(spec, artifact) for artifact in loads), default=0.0)
         for loads in chain
     )
     return (
-        min(places, count_adapters(together)) <= spec.adapter_slots
-        and min(heaviest, total_weights_mb(spec, together)) <= spec.weights_mb
+        min(adapters, count_adapters(all_loads)) <= spec.adapter_slots
+        and min(heaviest, total_weights_mb(spec, all_loads)) <= spec.weights_mb
     )
--- a/src/ridgesill/core/fleet/engines.py
+++ b/src/ridgesill/core/fleet/engines.py
@@ -1,4 +1,4 @@
-"""What the owner believes of each engine's memory."""
+"""The owner's model of each engine: what it holds and what it is loading."""
 
 import attrs
 
@@ -12,31 +12,37 @@
 from ridgesill.core.fleet.sent_orders import SentOrder, find_load_chain
 from ridgesill.core.serving.routes import EngineSpec
 
-# Adapters that may be on their way to one engine at once (the platform's
-# protocol).
+# Adapters that one engine loads at the same time at most; it refuses further
+# orders until one of the loads has ended.
 MAX_CONCURRENT_LOADS = 4
-# How long an adapter that a report names as on its way still takes, in
-# seconds: a quarter of a second from the store, more while many are loaded.
+# Upper bound for the rest of a load that a report lists as incoming, in
+# seconds. A load from the store takes a quarter of a second, and longer while
+# the engine loads several adapters.
 _INCOMING_SECONDS = 1.0
-# Reports and heartbeats may be this old, in seconds; what was ordered later
-# than that isn't judged by them.
-_REPORT_LAG = 4.0
-# A report that was asked for is at most this old, in seconds.
-_ASKED_REPORT_LAG = 0.8
-# Heartbeats that must lack an artifact before it counts as gone.
-_MISSED_MOST = 3
-# Adapters that an engine had before and loads again without the store.
-_LATELY_KEPT = 96
+# Greatest age of a heartbeat, in seconds. A heartbeat says nothing about an
+# order that was sent within this time before it arrived.
+_REPORT_LAG_SECONDS = 4.0
+# Greatest age of a report that was requested, in seconds.
+_REQUESTED_REPORT_LAG_SECONDS = 0.8
+# An artifact that is missing from this many heartbeats in a row is no longer
+# counted as held.
+_MAX_MISSED_HEARTBEATS = 3
+# Number of unloaded adapters that an engine keeps in its local cache, from
+# which it loads them again without the store.
+_MAX_CACHED_ADAPTERS = 96
 
 
 @attrs.define
 class HeldArtifact:
-    """Something that an engine holds.
+    """An artifact that an engine holds.
 
     Attributes:
-        since: when a load ordered here was done; minus infinity when it was
-            learned from others.
-        assigned_at: when a front was last told to send a request to it.
+        version: the version that the engine holds.
+        loaded_at: when a load ordered by this owner ended, on the owner's clock
+            in seconds; minus infinity if the artifact was learned from a
+            heartbeat, a report or an earlier owner.
+        assigned_at: when a front was last told to send a request for the
+            artifact to this engine, in seconds.
     """
 
     version: int
@@ -46,11 +52,13 @@
 
 @attrs.frozen
 class PendingUnload:
-    """Something whose unload was ordered.
+    """An unload that was ordered and has not been confirmed.
 
     Attributes:
-        at: when fronts were first told to send no more requests to it.
-        version: that was held, and still is if the order is refused.
+        started_at: when fronts were first told to send no more requests for the
+            artifact to this engine, in seconds.
+        version: the version that was held, and is still held if the engine
+            refuses the order.
     """
 
     started_at: float
@@ -59,12 +67,12 @@
 
 @attrs.frozen
 class UnansweredLoad:
-    """An order to load without an answer, which may be carried out late.
+    """A load order without an answer, which the engine may still carry out.
 
     Attributes:
-        until: when it can't be carried out any more.
-        revision: the count of orders at which alone it is carried out; None
-            when the order named none, or is known to be under way.
+        expires_at: when the engine can no longer carry it out, in seconds.
+        revision: the order count at which alone the engine carries it out; None
+            if the engine is known to have accepted the order.
     """
 
     expires_at: float
@@ -73,11 +81,11 @@
 
 @attrs.define
 class PendingLoad:
-    """A load that is about to be ordered, or was.
+    """A load that will be ordered or has been ordered.
 
     Attributes:
-        victim: what is unloaded first; empty when a place is free.
-        taken: whether the engine has taken the order.
+        victim: the adapter that is unloaded first; empty if a slot is free.
+        accepted: whether the engine has accepted the order.
     """
 
     victim: str = ""
@@ -86,26 +94,39 @@
 
 @attrs.define
 class Engine:
-    """One engine.
+    """One start of an engine, as the owner knows it.
 
     Attributes:
-        instance: what it calls itself, at each of its starts.
-        start: tells its starts apart; 0 when it doesn't tell.
-        revision: orders that it has taken; None when that isn't known.
-        leaving: artifacts whose unload was ordered and is not yet done.
-        unanswered: artifacts of loads without an answer, until a report or a
-            later order tells what became of them.
-        unsure: what heartbeats lack, which may be old; it keeps its place until
-            a report tells.
-        strays: orders of its earlier starts that may be carried out on this
-            one.
-        has_ended: whether a later start is known; it gets no orders then.
-        waits_for: the artifact whose runs an order waits for; meanwhile the
-            engine takes no other order.
-        ordered_at: when it last took an order, or refused one for its count.
-        asked_at: when it was last asked for a report.
-        suspended_until: until when it gets no orders, after failures.
-        has_holder: whether a VM can deliver orders to it now.
+        name: the name of this start of the engine.
+        address: where the engine is reached, as host:port.
+        data_centre: the data centre in which the engine runs.
+        spec: the capacity of the engine.
+        revision: the order count, which is how many orders the engine has
+            accepted; None if it is unknown.
+        held: the artifacts that the engine holds.
+        loading: loads that are planned or in progress.
+        unloading: unloads that were ordered and have not been confirmed.
+        unanswered: load orders without an answer, kept until a report or a
+            later order shows whether the engine carried them out.
+        unconfirmed: artifacts that recent heartbeats lack. As heartbeats may be
+            old, each keeps its slot until a report confirms that it is gone.
+        late_orders: orders to earlier starts of the engine that this start may
+            still carry out.
+        instance: the name that the engine uses at each of its starts.
+        start: a number that tells the starts of an instance apart and grows
+            with each; 0 if the engine does not report one.
+        is_superseded: whether a later start of the same instance is known. A
+            superseded engine gets no more orders.
+        blocking_artifact: the artifact of an order that waits until the
+            requests in progress with that artifact have ended. Until then the
+            engine accepts no other order. Empty if there is none.
+        last_order_at: when the engine last accepted an order, or refused one
+            because of its order count, in seconds.
+        report_requested_at: when a report was last requested, in seconds.
+        suspended_until: when the engine may get orders again after a failure,
+            in seconds.
+        has_holder: whether some VM can deliver orders to the engine now.
+        draining: whether the engine is leaving and gets no new requests.
     """
 
     name: str
@@ -128,27 +149,32 @@
     suspended_until: float = 0.0
     has_holder: bool = True
     draining: bool = False
-    _left_at: dict[str, float] = attrs.Factory(dict)
-    _missed: dict[str, int] = attrs.Factory(dict)
+    _unloaded_at: dict[str, float] = attrs.Factory(dict)
+    _missed_heartbeats: dict[str, int] = attrs.Factory(dict)
 
     def used_adapter_slots(self) -> int:
-        """Returns the places for adapters that are or may be taken.
+        """Returns the number of adapter slots that are or may be in use.
 
-        A load and what is unloaded for it share a place.
+        A load and the unload that makes space for it share one slot.
         """
-        return count_adapters(self._promised())
+        return count_adapters(self._expected_artifacts())
 
-    def _promised(self) -> set[str]:
-        """Returns what it holds or may hold once loads here have ended."""
+    def _expected_artifacts(self) -> set[str]:
+        """Returns what it may hold once all loads ordered here have ended."""
         replaced = {pending.victim for pending in self.loading.values()}
-        taken = {*self.held, *self.loading, *self.unanswered, *self.unconfirmed}
-        taken.update(a for a in self.unloading if a not in replaced)
-        return taken
+        expected = {
+            *self.held,
+            *self.loading,
+            *self.unanswered,
+            *self.unconfirmed,
+        }
+        expected.update(a for a in self.unloading if a not in replaced)
+        return expected
 
     def possible_artifacts(self) -> set[str]:
-        """Returns all that it may hold at its count of orders.
+        """Returns everything that the engine may hold at its order count.
 
-        Orders that are still to leave don't count.
+        Loads that were planned but not yet sent are left out.
         """
         ordered = (a for a, pending in self.loading.items() if pending.accepted)
         return {
@@ -160,118 +186,145 @@
         }
 
     def free_adapter_slots(self) -> int:
-        """Returns the places for adapters that are certainly free."""
+        """Returns the number of adapter slots that are certainly free.
+
+        It is negative if more artifacts are expected than there are slots.
+        """
         return self.spec.adapter_slots - self.used_adapter_slots()
 
     def fits_adapter(self, adapter: str, without: str = "") -> bool:
-        """Whether an adapter fits in, by places and by megabytes.
+        """Returns whether an adapter fits, by slots and by memory.
 
-        An engine whose memory is full may have places left: nothing could be
-        ordered there, and no adapter would ever give way.
+        An engine can have free slots and full memory. Without the check for
+        memory no load could be ordered on such an engine, and no adapter on it
+        would ever be chosen to be unloaded.
 
         Args:
-            adapter: that isn't there.
-            without: what gives way first; empty when nothing does.
+            adapter: an adapter that the engine does not hold.
+            without: the adapter that is unloaded first; empty if there is none.
         """
-        return fits(self.spec, (self._promised() - {without}) | {adapter})
+        return fits(
+            self.spec, (self._expected_artifacts() - {without}) | {adapter}
+        )
 
     def is_order_safe(
         self, action: Action, artifact: str, revision: int, now: float
     ) -> bool:
-        """Whether an order can't take it over its places or room.
+        """Returns whether an order cannot exceed the engine's slots or memory.
+
+        The order counts by itself and together with the late orders that it
+        makes possible: each accepted order raises the order count by one, and
+        orders to an earlier start may be waiting for the new count.
 
-        Neither by itself nor by what may be carried out after it: an order
-        moves the count by one, from where orders of an earlier start may run.
+        Args:
+            action: whether the artifact is loaded or unloaded.
+            artifact: the artifact that the order names.
+            revision: the order count that the order names.
+            now: the owner's clock, in seconds.
         """
         after = set().union(
             *find_load_chain(self.late_orders, revision + 1, now)
         )
         if action is Action.UNLOAD and not after:
-            # It makes room, however much is believed to be there.
+            # An unload frees memory whatever else the engine may hold.
             return True
         return fits(self.spec, self.possible_artifacts() | after | {artifact})
 
     def needs_report(self, now: float) -> bool:
-        """Whether a report must tell how many orders it took, or what it holds.
+        """Returns whether the order count or the held artifacts are uncertain.
 
-        Until then what is doubtful keeps its place; orders may go on.
+        Until a report settles this, each uncertain artifact keeps its slot.
+        Orders may be sent meanwhile if the order count is known.
         """
-        overdue = any(
+        is_overdue = any(
             load.expires_at <= now for load in self.unanswered.values()
         )
-        return self.revision is None or overdue or bool(self.unconfirmed)
+        return self.revision is None or is_overdue or bool(self.unconfirmed)
 
     def used_weights_mb(self) -> float:
-        """Returns the megabytes that models and adapters may take."""
+        """Returns the memory that models and adapters may use, in megabytes."""
         return total_weights_mb(
             self.spec, self.possible_artifacts() | self.loading.keys()
         )
 
     def fits_model(self, model: str) -> bool:
-        """Whether a base model fits beside what is there."""
+        """Returns whether a base model fits beside what the engine may hold."""
         spec = self.spec.model(model)
         if spec is None:
             return False
         return self.used_weights_mb() + spec.weights_mb <= self.spec.weights_mb
 
     def is_busy(self) -> bool:
-        """Whether it would refuse an order for something else."""
-        taken = sum(pending.accepted for pending in self.loading.values())
-        return bool(self.blocking_artifact) or taken >= MAX_CONCURRENT_LOADS
+        """Returns whether the engine would refuse another load."""
+        loads = sum(pending.accepted for pending in self.loading.values())
+        return bool(self.blocking_artifact) or loads >= MAX_CONCURRENT_LOADS
 
     def record_accepted_order(self, revision: int, now: float) -> None:
-        """Notes that an order was taken at the revision that it named."""
+        """Records that the engine accepted an order.
+
+        Args:
+            revision: the order count that the order named.
+            now: the owner's clock, in seconds.
+        """
         for artifact, load in list(self.unanswered.items()):
             if load.revision is not None and load.revision <= revision:
-                # It expects a count that is past, and wasn't carried out when
-                # that count was learned.
+                # This load names an order count that has passed, so it can no
+                # longer be carried out. It had not been carried out when the
+                # current count was learned.
                 del self.unanswered[artifact]
         self.revision = revision + 1
         self.last_order_at = now
 
     def record_load_in_progress(self, artifact: str, now: float) -> None:
-        """Notes a load that was taken, and that nobody here waits for."""
+        """Records an accepted load whose end nobody here waits for."""
         self.unanswered[artifact] = UnansweredLoad(now + _INCOMING_SECONDS)
 
     def record_unloaded(self, artifact: str, now: float) -> None:
-        """Notes that an adapter was unloaded; a copy stays near for a while."""
-        self._left_at.pop(artifact, None)
-        self._left_at[artifact] = now
-        if len(self._left_at) > _LATELY_KEPT:
-            del self._left_at[next(iter(self._left_at))]
+        """Records that an adapter was unloaded and is in the local cache."""
+        self._unloaded_at.pop(artifact, None)
+        self._unloaded_at[artifact] = now
+        if len(self._unloaded_at) > _MAX_CACHED_ADAPTERS:
+            del self._unloaded_at[next(iter(self._unloaded_at))]
 
     def is_cached_locally(self, artifact: str) -> bool:
-        """Whether it would load an adapter without the store."""
-        return artifact in self._left_at
+        """Returns whether the engine can load an adapter without the store."""
+        return artifact in self._unloaded_at
 
-    def _may_be_old(self, artifact: str, now: float, lag: float) -> bool:
-        """Whether word that it is held may be from before it was unloaded."""
-        return now - self._left_at.get(artifact, float("-inf")) < lag
+    def _is_possibly_stale(self, artifact: str, now: float, lag: float) -> bool:
+        """Returns whether a message may predate the unload of an artifact.
+
+        Args:
+            artifact: the artifact, which the message lists as held.
+            now: the owner's clock, in seconds.
+            lag: the greatest age of the message, in seconds.
+        """
+        return now - self._unloaded_at.get(artifact, float("-inf")) < lag
 
     def has_model(self, model: str) -> bool:
-        """Whether the base model is there."""
+        """Returns whether the engine holds a base model."""
         return model in self.held
 
     def accepts_orders(self, now: float) -> bool:
-        """Whether it takes orders now, as far as is known."""
+        """Returns whether orders can be sent to the engine now."""
         if self.draining or self.is_superseded or not self.has_holder:
             return False
         return now >= self.suspended_until
 
     def resident(self) -> dict[str, int]:
-        """Returns the versions of what it holds."""
+        """Returns the versions of the held artifacts."""
         return {artifact: held.version for artifact, held in self.held.items()}
 
-    # -- what it says --------------------------------------------------
+    # -- heartbeats and reports ---------------------------------------
 
     def apply_resident(
         self, resident: dict[str, int], assigned_at: float = float("-inf")
     ) -> None:
-        """Takes what it holds as given, from a heartbeat or a predecessor.
+        """Adds artifacts that the engine is known to hold.
 
         Args:
-            resident: versions by artifact.
-            assigned_at: until when a predecessor may have sent requests there.
+            resident: the versions by artifact.
+            assigned_at: until when an earlier owner may have assigned requests
+                for them to this engine, in seconds.
         """
         for artifact, version in resident.items():
             self.held[artifact] = HeldArtifact(
@@ -279,78 +332,106 @@
             )
 
     def reconcile(self, resident: dict[str, int], now: float) -> list[str]:
-        """Brings what is believed in line with a heartbeat, which may lag.
+        """Updates the held artifacts from a heartbeat, which may be old.
+
+        Args:
+            resident: the versions by artifact that the heartbeat lists.
+            now: the owner's clock, in seconds.
 
         Returns:
-            What it holds and nobody here waited for.
+            The artifacts that the engine holds although no load of them was
+            pending here.
         """
         appeared = []
         for artifact, version in resident.items():
             if artifact in self.unloading or artifact in self.loading:
                 continue
             held = self.held.get(artifact)
-            if held is None and self._may_be_old(artifact, now, _REPORT_LAG):
+            if held is None and self._is_possibly_stale(
+                artifact, now, _REPORT_LAG_SECONDS
+            ):
                 continue
             if held is None:
-                # Not ordered here, or an order without an answer came true.
-                self.held[artifact] = _learned(version)
+                # Another owner ordered the load, or the engine carried out an
+                # order without an answer.
+                self.held[artifact] = _make_reported_artifact(version)
                 self.unanswered.pop(artifact, None)
                 self.unconfirmed.discard(artifact)
                 appeared.append(artifact)
             elif version > held.version:
                 held.version = version
-        self._settle_leaving(resident, now, _REPORT_LAG)
-        self._drop_missing(resident, now)
+        self._resolve_unloads(resident, now, _REPORT_LAG_SECONDS)
+        self._discard_missing(resident, now)
         return appeared
 
-    def _settle_leaving(
+    def _resolve_unloads(
         self, resident: dict[str, int], now: float, lag: float
     ) -> None:
-        """Decides unloads whose fate was unknown.
+        """Decides whether unloads without an answer were carried out.
+
+        If a message that is certainly newer than the order still lists the
+        artifact, the order was lost and the artifact is held again. Otherwise
+        the artifact would keep its slot forever without serving a request.
 
-        What is still there long after was not unloaded: its order was lost.
-        Without this it would keep its place, and serve nobody, for good.
+        Args:
+            resident: the versions by artifact that the message lists.
+            now: the owner's clock, in seconds.
+            lag: the greatest age of the message, in seconds.
         """
         replaced = {pending.victim for pending in self.loading.values()}
-        for artifact, leaving in list(self.unloading.items()):
-            if now - leaving.started_at <= lag or artifact in replaced:
+        for artifact, pending in list(self.unloading.items()):
+            if now - pending.started_at <= lag or artifact in replaced:
                 continue
             if artifact not in resident:
                 del self.unloading[artifact]
                 self.unconfirmed.add(artifact)
             elif artifact != self.blocking_artifact:
                 del self.unloading[artifact]
-                self.held[artifact] = _learned(resident[artifact])
+                self.held[artifact] = _make_reported_artifact(
+                    resident[artifact]
+                )
 
-    def _drop_missing(self, resident: dict[str, int], now: float) -> None:
+    def _discard_missing(self, resident: dict[str, int], now: float) -> None:
+        """Marks artifacts that several heartbeats lack as unconfirmed."""
         for artifact, held in list(self.held.items()):
-            if artifact in resident or now - held.loaded_at < _REPORT_LAG:
-                self._missed.pop(artifact, None)
+            if (
+                artifact in resident
+                or now - held.loaded_at < _REPORT_LAG_SECONDS
+            ):
+                self._missed_heartbeats.pop(artifact, None)
                 continue
-            missed = self._missed.get(artifact, 0) + 1
-            self._missed[artifact] = missed
-            if missed >= _MISSED_MOST:
+            missed = self._missed_heartbeats.get(artifact, 0) + 1
+            self._missed_heartbeats[artifact] = missed
+            if missed >= _MAX_MISSED_HEARTBEATS:
                 del self.held[artifact]
-                del self._missed[artifact]
+                del self._missed_heartbeats[artifact]
                 self.unconfirmed.add(artifact)
 
     def apply_report(self, report: EngineReport, now: float) -> None:
-        """Takes a report that was asked for after a quiet moment."""
+        """Updates the engine from a report that was requested.
+
+        The caller requests it only when no order was accepted for a while, so
+        that the report shows the effect of the last order.
+        """
         if report.busy and not self._is_busy_explained():
-            # It doesn't tell which base model is on its way, and takes no
-            # other order: once it is there, another report shows it.
+            # The report does not tell which base model is being loaded, and the
+            # engine accepts no other order meanwhile. A later report lists the
+            # model.
             self.revision = None
             return
         self.revision = report.revision
-        self._drop_unreported(report, now)
-        self._settle_leaving(report.resident, now, _ASKED_REPORT_LAG)
-        # Only what it says at a known count takes from what it may hold.
+        self._discard_unreported(report, now)
+        self._resolve_unloads(
+            report.resident, now, _REQUESTED_REPORT_LAG_SECONDS
+        )
+        # Only a report, which names the order count, may remove artifacts from
+        # what the engine may hold.
         self.unconfirmed.clear()
         self.late_orders = [
             sent for sent in self.late_orders if sent.expires_at > now
         ]
         for artifact, load in list(self.unanswered.items()):
-            if load.expires_at <= now or _is_past(load, report.revision):
+            if load.expires_at <= now or _is_resolved(load, report.revision):
                 del self.unanswered[artifact]
         for artifact in report.incoming:
             if artifact not in self.loading and artifact not in self.held:
@@ -358,31 +439,39 @@
         for artifact, version in report.resident.items():
             if artifact in self.held or artifact in self.unloading:
                 continue
-            if not self._may_be_old(artifact, now, _ASKED_REPORT_LAG):
-                self.held[artifact] = _learned(version)
+            if not self._is_possibly_stale(
+                artifact, now, _REQUESTED_REPORT_LAG_SECONDS
+            ):
+                self.held[artifact] = _make_reported_artifact(version)
 
     def _is_busy_explained(self) -> bool:
-        """Whether an order is known that makes it take no other one."""
+        """Returns whether a known order explains that the engine is busy."""
         loading = (a for a, p in self.loading.items() if p.accepted)
         return bool(self.blocking_artifact) or not all(map(is_adapter, loading))
 
-    def _drop_unreported(self, report: EngineReport, now: float) -> None:
-        """Drops what an earlier owner unloaded without this one's knowledge.
+    def _discard_unreported(self, report: EngineReport, now: float) -> None:
+        """Discards artifacts that an earlier owner unloaded.
 
-        To unload it once more is answered alike but doesn't count as an order,
-        after which the engine would refuse every order for its wrong count.
+        A second unload of such an artifact would get the same answer as the
+        first but does not raise the order count. The engine would then refuse
+        every later order for its wrong count.
         """
         for artifact, held in list(self.held.items()):
-            is_newer = now - held.loaded_at < _ASKED_REPORT_LAG
+            is_newer = now - held.loaded_at < _REQUESTED_REPORT_LAG_SECONDS
             if artifact not in report.resident and not is_newer:
                 del self.held[artifact]
 
 
-def _learned(version: int) -> HeldArtifact:
-    """Returns something that was loaded by others, or nobody knows when."""
+def _make_reported_artifact(version: int) -> HeldArtifact:
+    """Returns a held artifact whose load was not ordered by this owner."""
     return HeldArtifact(version, float("-inf"), float("-inf"))
 
 
-def _is_past(load: UnansweredLoad, revision: int) -> bool:
-    """Whether a report made at a revision tells what became of an order."""
+def _is_resolved(load: UnansweredLoad, revision: int) -> bool:
+    """Returns whether a report shows if an unanswered load was carried out.
+
+    Args:
+        load: the unanswered load.
+        revision: the order count of the report.
+    """
     return load.revision is not None and load.revision < revision
--- a/src/ridgesill/core/fleet/model_rate.py
+++ b/src/ridgesill/core/fleet/model_rate.py
@@ -1,26 +1,32 @@
-"""How often base models may be loaded from the weight store."""
+"""Limits how often base models are loaded from the weight store."""
 
 import collections
 
-# Over which the store's rate is judged, in seconds (the platform's bounds).
+# Window over which the store's rate limit applies, in seconds.
 _WINDOW_SECONDS = 5.0
-# Share of the rate that is used: an earlier owner's loads in the same window
-# aren't known, and neither is what engines bring from their own disks.
-_SHARE_USED = 0.5
+# Share of the limit that one owner uses. It does not know the loads that an
+# earlier owner ordered in the same window, nor those that engines make from
+# their own disks.
+_USABLE_SHARE = 0.5
 
 
 class ModelLoadRate:
-    """Counts loads of base models over a sliding window."""
+    """Limits loads of base models over a sliding window."""
 
     def __init__(self) -> None:
-        self._taken: collections.deque[float] = collections.deque()
+        self._loaded_at: collections.deque[float] = collections.deque()
 
     def acquire(self, loads_per_second: float, now: float) -> bool:
-        """Counts a load; False when it has to wait."""
-        while self._taken and now - self._taken[0] >= _WINDOW_SECONDS:
-            self._taken.popleft()
-        most = loads_per_second * _WINDOW_SECONDS * _SHARE_USED
-        if len(self._taken) >= max(most, 1.0):
+        """Counts a load, and returns False if it has to wait.
+
+        Args:
+            loads_per_second: the rate limit of the store.
+            now: the owner's clock, in seconds.
+        """
+        while self._loaded_at and now - self._loaded_at[0] >= _WINDOW_SECONDS:
+            self._loaded_at.popleft()
+        limit = loads_per_second * _WINDOW_SECONDS * _USABLE_SHARE
+        if len(self._loaded_at) >= max(limit, 1.0):
             return False
-        self._taken.append(now)
+        self._loaded_at.append(now)
         return True
--- a/src/ridgesill/core/fleet/orders.py
+++ b/src/ridgesill/core/fleet/orders.py
@@ -1,4 +1,4 @@
-"""Orders to engines, their verdicts, and what engines report."""
+"""Orders to engines, their outcomes, and the reports of engines."""
 
 import enum
 
@@ -15,7 +15,18 @@
 
 
 class OrderVerdict(enum.Enum):
-    """What became of an order."""
+    """The outcome of an order.
+
+    Attributes:
+        TAKEN: the engine accepted the order, which raises its order count by
+            one.
+        HOLDS: the engine has nothing left to do: the artifact is loaded or
+            unloaded as ordered.
+        REFUSED: the engine refused the order, or the order was not sent.
+        FENCED: the engine has seen a higher fencing token.
+        MISDIRECTED: the order did not reach the engine that it names.
+        UNKNOWN: there was no answer; the engine may still carry out the order.
+    """
 
     TAKEN = "taken"
     HOLDS = "holds"
@@ -28,17 +39,20 @@
 @register
 @attrs.frozen
 class FleetOrder:
-    """An order.
+    """An order to load or unload an artifact.
 
     Attributes:
-        upstream: the incarnation that is meant.
+        action: whether the artifact is loaded or unloaded.
+        upstream: the name of the engine's start for which the order is meant.
+        address: where the engine is reached, as host:port.
         artifact: `model` or `model/adapter`.
-        version: to load; 0 for the newest.
-        holder: the VM that delivers it.
-        token: the fencing token of its lease.
-        revision: the count of orders that the engine must have taken so far.
-            Without one it would be carried out whenever it arrives: an order
-            that came seconds late took an engine over its places.
+        version: the version to load; 0 for the newest.
+        holder: the VM that delivers the order.
+        token: the fencing token of that VM's lease.
+        revision: the order count that the engine must have, which is how many
+            orders it has accepted. An order without one would be carried out
+            whenever it arrives: such an order arrived seconds late and made an
+            engine exceed its adapter slots.
     """
 
     action: Action
@@ -54,11 +68,12 @@
 @register
 @attrs.frozen
 class HolderAlive:
-    """A VM tells the leader that it can deliver orders.
+    """Tells the leader that a VM can deliver orders.
 
     Attributes:
-        name: of the node.
-        stamp: its own steady clock, in seconds.
+        name: the name of the VM's node.
+        data_centre: the data centre in which the VM runs.
+        stamp: the VM's own monotonic clock, in seconds.
     """
 
     name: str
@@ -69,11 +84,13 @@
 @register
 @attrs.frozen
 class DeliverOrder:
-    """The leader has the holder of an engine's lease deliver an order.
+    """Asks the holder of an engine's order lease to deliver an order.
 
     Attributes:
-        stamp: the last that the leader has heard from the holder.
-        term: of the leadership.
+        order: the order.
+        stamp: the newest stamp that the leader has received from the holder, in
+            seconds on the holder's clock.
+        term: the log term in which the sender leads.
     """
 
     order: FleetOrder
@@ -82,7 +99,14 @@
 
 
 class Delivery(enum.Enum):
-    """How far an order came."""
+    """How far the delivery of an order got.
+
+    Attributes:
+        ANSWERED: the engine answered.
+        NO_ANSWER: the order was sent and no answer arrived.
+        UNREACHABLE: the engine could not be reached.
+        NOT_SENT: the holder did not send the order.
+    """
 
     ANSWERED = "answered"
     NO_ANSWER = "no_answer"
@@ -93,12 +117,14 @@
 @register
 @attrs.frozen
 class OrderAnswer:
-    """What became of the delivery of an order.
+    """The outcome of the delivery of an order.
 
     Attributes:
-        detail: the start of the engine's answer, or why there is none.
-        status: of that answer.
-        leaves: whether the engine says in it that it leaves.
+        delivery: how far the delivery got.
+        detail: the start of the engine's answer, or the reason why there is
+            none.
+        status: the HTTP status of the answer; 0 if there is none.
+        leaves: whether the answer says that the engine is leaving.
     """
 
     delivery: Delivery
@@ -109,17 +135,18 @@
 
 @attrs.frozen
 class EngineReport:
-    """What an engine says when asked; some hundred milliseconds old.
+    """What an engine reports on request, up to some hundred milliseconds old.
 
     Attributes:
-        start: of the engine; 0 when it doesn't tell.
-        revision: how many orders it has taken.
-        busy: whether a model is being loaded or unloaded.
-        resident: versions by artifact.
-        incoming: versions of adapters on their way.
-        running: requests in its batch.
-        queued: requests that wait there.
-        unknown: fields that nothing here reads.
+        revision: the order count, which is how many orders the engine has
+            accepted.
+        busy: whether a base model is being loaded or unloaded.
+        resident: the versions of the held artifacts.
+        incoming: the versions of the adapters that are being loaded.
+        running: the number of requests in the engine's batch.
+        queued: the number of requests that wait at the engine.
+        start: the number of the engine's start; 0 if it reports none.
+        unknown: the names of fields that are not understood here.
     """
 
     revision: int
--- a/src/ridgesill/core/fleet/placement.py
+++ b/src/ridgesill/core/fleet/placement.py
@@ -1,4 +1,4 @@
-"""Which engine gets a missing artifact, and what gives way for it."""
+"""Which engine loads a missing artifact, and which adapter it unloads first."""
 
 import collections
 from collections.abc import Callable, Collection, Sequence
@@ -9,43 +9,49 @@
 from ridgesill.core.fleet.engines import MAX_CONCURRENT_LOADS, Engine
 from ridgesill.core.pool.popularity import Popularity
 
-# Half-life of requests counted for an adapter's worth, in seconds: some
-# thousand requests, since a few at a time lose their demand and keep a place
-# too long, but a shorter memory forgets the many of middling demand.
+# Half-life of the request counts from which an adapter's value is computed, in
+# seconds; it covers about a thousand requests. With a longer half-life,
+# adapters that are requested in short bursts keep their slots after the demand
+# has ended. With a shorter one, the many adapters of medium demand are
+# forgotten.
 HALF_LIFE_SECONDS = 60.0
-# What a full batch costs beside the worth of what gives way, in requests, and
-# each second of reading ahead: a request that waits so long is late.
+# Costs of an engine, in requests, added to the value of the adapter that is
+# unloaded there: for a full batch, and for each second of its backlog. A
+# request that waits for a second of backlog is late.
 _BUSY_COST = 2.0
 _BACKLOG_COST = 4.0
-# What it costs that a request is late, in the same measure.
+# Cost of a late request, in requests as above.
 _LATENESS_COST = 8.0
-# What each load on its way to the same engine costs, in the same measure.
+# Cost of each load already in progress on the engine, in requests.
 _LOADING_COST = 0.3
-# What it costs that the request has to go to another data centre: some 3 KB
-# there and back, a tenth of what a load from the store is priced.
-_ELSEWHERE_COST = 0.3
-# Share of an engine's places that stay for requests that can be in time: what
-# is late, or only saves bytes, may take none of the last third. An answer of
-# 300 tokens holds one for seconds, and others then come late for it (emulated,
-# six seeds: 0.591 to 0.597 of the worth where places are scarce, 0.633 to 0.646
-# with engines and owners lost).
+# Cost of sending a request to another data centre, in requests. It transfers
+# about 3 KB in both directions, which costs a tenth of a load from the store.
+_REMOTE_COST = 0.3
+# Share of an engine's adapter slots that is reserved for requests that can meet
+# their goal. Loads for late requests, and loads that only save traffic, may not
+# use the last third. An answer of 300 tokens occupies a slot for seconds, and
+# makes other requests late. The reserve raises the share of request value that
+# is earned from 0.591 to 0.597 where slots are scarce, and from 0.633 to 0.646
+# while engines and owners are being lost.
 _SPARE_SHARE = 1 / 3
-# What it is worth, in the same measure, that an engine had an adapter lately:
-# it loads ten times as fast, and costs the store nothing.
-_LATELY_BONUS = 3.0
-# Copies divide an adapter's requests; the last copy is worth more than that.
+# Bonus of an engine that has the adapter in its local cache, in requests: the
+# load is ten times as fast and puts no load on the store.
+_CACHED_BONUS = 3.0
+# Several copies share an adapter's requests. Each is worth less than its part
+# of them, because the last remaining copy is worth more.
 _COPY_SHARE = 0.5
-# Requests for one adapter counted from one question, so that a report after a
-# long silence doesn't take long to count.
-_MOST_COUNTED = 200
+# Greatest number of requests for one adapter that are counted from one report,
+# so that a report after a long silence is counted quickly.
+_MAX_COUNTED_REQUESTS = 200
 
 
 @attrs.frozen
 class LoadTarget:
-    """Where to load, and what is unloaded first.
+    """An engine to load an artifact on, and what it unloads first.
 
     Attributes:
-        victim: empty when a place is free.
+        engine: the engine that loads the artifact.
+        victim: the adapter that is unloaded first; empty if a slot is free.
     """
 
     engine: Engine
@@ -54,23 +60,30 @@
 
 @attrs.frozen
 class Demand:
-    """What is asked of the engines now.
+    """The current use of the engines.
 
     Attributes:
-        busy: requests in progress by engine.
-        using: returns the artifacts in use on an engine.
-        is_settled: whether what was handed out at a moment shows in those.
-        backlog: returns seconds of reading ahead at an engine.
+        busy: the number of requests in progress by engine.
+        in_use: returns the artifacts that requests in progress use on an
+            engine.
+        is_use_reported: returns whether a request that was assigned at a given
+            time, in seconds, is already counted in the two above.
+        backlog: returns the time that an engine needs for the prompts that it
+            has yet to read, in seconds.
     """
 
     busy: dict[str, int]
     in_use: Callable[[str], set[str]]
-    is_settled: Callable[[float], bool]
+    is_use_reported: Callable[[float], bool]
     backlog: Callable[[str], float] = lambda _engine: 0.0
 
 
 class Placement:
-    """Ranks engines and what they hold, by decayed frequency."""
+    """Ranks adapters by decayed request counts, and chooses engines for loads.
+
+    Args:
+        half_life: the half-life of the request counts, in seconds.
+    """
 
     def __init__(self, half_life: float = HALF_LIFE_SECONDS) -> None:
         self.popularity = Popularity(half_life)
@@ -79,13 +92,13 @@
     def record_requests(self, used: dict[str, int], now: float) -> None:
         """Counts requests by artifact."""
         for artifact, count in used.items():
-            for _ in range(min(count, _MOST_COUNTED)):
+            for _ in range(min(count, _MAX_COUNTED_REQUESTS)):
                 self.popularity.note(artifact, now)
 
     def take_snapshot(
         self, engines: Sequence[Engine], demand: Demand, now: float
     ) -> "PlacementSnapshot":
-        """Returns a basis for choices that are made at the same moment."""
+        """Returns a snapshot from which several loads can be placed at once."""
         return PlacementSnapshot(self.popularity, engines, demand, now)
 
     def choose_for_model(
@@ -95,8 +108,17 @@
         busy: dict[str, int],
         now: float,
     ) -> LoadTarget | None:
-        """Returns where to load a base model, if one has room for it."""
-        roomy = [
+        """Returns the least busy engine that has memory for a base model.
+
+        Returns None if no engine can load the model now.
+
+        Args:
+            model: the base model.
+            engines: the engines that may be chosen.
+            busy: the number of requests in progress by engine.
+            now: the owner's clock, in seconds.
+        """
+        candidates = [
             engine
             for engine in engines
             if engine.accepts_orders(now)
@@ -104,18 +126,21 @@
             and not engine.loading
             and engine.fits_model(model)
         ]
-        best = min(roomy, key=lambda e: busy.get(e.name, 0), default=None)
+        best = min(candidates, key=lambda e: busy.get(e.name, 0), default=None)
         return LoadTarget(best) if best else None
 
 
 class PlacementSnapshot:
-    """Engines and what each could give up, looked at once for many choices.
+    """The state of a set of engines at one time, for choosing where to load.
+
+    The adapter that each engine would unload is computed once and reused for
+    all choices.
 
     Args:
-        popularity: what each adapter is asked for.
-        engines: those that may be chosen.
-        demand: what is asked of them now.
-        now: the clock, in seconds.
+        popularity: the decayed request counts by adapter.
+        engines: the engines that may be chosen.
+        demand: the current use of these engines.
+        now: the owner's clock, in seconds.
     """
 
     def __init__(
@@ -134,18 +159,18 @@
         )
         self._victims: dict[str, str | None] = {}
 
-    def worth(self, artifact: str) -> float:
-        """Returns what a copy of an adapter is worth, in requests."""
+    def copy_value(self, artifact: str) -> float:
+        """Returns the value of one copy of an adapter, in requests."""
         copies = self._copies[artifact]
         value = self._popularity.value(artifact, self.now)
         return value if copies <= 1 else value * _COPY_SHARE / copies
 
     def busy_share(self, engine: Engine) -> float:
-        """Returns requests in progress for each place of the batch."""
+        """Returns the requests in progress per slot of the engine's batch."""
         return self._demand.busy.get(engine.name, 0) / engine.spec.slots
 
     def backlog(self, engine: Engine) -> float:
-        """Returns seconds of reading ahead at an engine."""
+        """Returns the time for the prompts yet to be read, in seconds."""
         return self._demand.backlog(engine.name)
 
     def choose(
@@ -156,48 +181,53 @@
         max_loading: int = MAX_CONCURRENT_LOADS - 1,
         lateness: Callable[[Engine], float] = lambda _engine: 0.0,
     ) -> LoadTarget | None:
-        """Returns where to load an adapter, or None if nothing can give way.
+        """Returns where to load an adapter, or None if no engine can take it.
 
         Args:
             artifact: the adapter.
-            data_centre: where it is wanted; empty for no matter.
-            avoid: engines that are not to be chosen.
-            max_loading: loads under way on an engine that gets another one.
-            lateness: returns how many of those who wait would be late there.
+            data_centre: the data centre from which it is requested; empty if it
+                does not matter.
+            avoid: the names of engines that must not be chosen.
+            max_loading: the greatest number of loads in progress on an engine
+                that may be chosen.
+            lateness: returns how many of the waiting requests would be late on
+                an engine.
         """
         best: tuple[float, LoadTarget] | None = None
         for engine in self.engines:
             if engine.name in avoid or len(engine.loading) > max_loading:
                 continue
-            ranked = self._rank(artifact, engine)
-            if ranked is None:
+            scored = self._score(artifact, engine)
+            if scored is None:
                 continue
-            cost, choice = ranked
+            cost, target = scored
             cost += _LATENESS_COST * lateness(engine)
             if data_centre and engine.data_centre != data_centre:
-                cost += _ELSEWHERE_COST
+                cost += _REMOTE_COST
             if best is None or cost < best[0]:
-                best = (cost, choice)
+                best = (cost, target)
         return best[1] if best else None
 
-    def _rank(
+    def _score(
         self, artifact: str, engine: Engine
     ) -> tuple[float, LoadTarget] | None:
-        if not self._may_load(artifact, engine):
+        """Returns the cost and target of a load; None if it is impossible."""
+        if not self._is_loadable(artifact, engine):
             return None
         cost = _LOADING_COST * len(engine.loading)
         cost += _BUSY_COST * self.busy_share(engine)
         cost += _BACKLOG_COST * self.backlog(engine)
         if engine.is_cached_locally(artifact):
-            cost -= _LATELY_BONUS
+            cost -= _CACHED_BONUS
         if engine.fits_adapter(artifact):
             return cost, LoadTarget(engine)
         victim = self.victim(engine)
         if victim is None or not engine.fits_adapter(artifact, victim):
             return None
-        return cost + self.worth(victim), LoadTarget(engine, victim)
+        return cost + self.copy_value(victim), LoadTarget(engine, victim)
 
-    def _may_load(self, artifact: str, engine: Engine) -> bool:
+    def _is_loadable(self, artifact: str, engine: Engine) -> bool:
+        """Returns whether an engine would accept an order to load."""
         return (
             engine.accepts_orders(self.now)
             and not engine.is_busy()
@@ -208,23 +238,25 @@
         )
 
     def crowded_engines(self) -> set[str]:
-        """Returns the engines without places to spare."""
-        return {e.name for e in self.engines if not self._has_spare(e)}
+        """Returns the names of the engines without spare adapter slots."""
+        return {e.name for e in self.engines if not self._has_spare_slots(e)}
 
-    def _has_spare(self, engine: Engine) -> bool:
+    def _has_spare_slots(self, engine: Engine) -> bool:
+        """Returns whether more slots are free than are held in reserve."""
         using = self._demand.in_use(engine.name)
         in_use = sum(artifact in using for artifact in engine.held)
-        taken = in_use + len(engine.loading)
-        places = engine.spec.adapter_slots
-        return places - taken > _SPARE_SHARE * places
+        used_slots = in_use + len(engine.loading)
+        slots = engine.spec.adapter_slots
+        return slots - used_slots > _SPARE_SHARE * slots
 
     def victim(self, engine: Engine) -> str | None:
-        """Returns the adapter of least worth that may give way."""
+        """Returns the adapter of least value that may be unloaded, if any."""
         if engine.name not in self._victims:
             self._victims[engine.name] = self._find_victim(engine)
         return self._victims[engine.name]
 
     def _find_victim(self, engine: Engine) -> str | None:
+        """Returns the adapter of least value that no request uses, if any."""
         using = self._demand.in_use(engine.name)
         idle = [
             artifact
@@ -232,12 +264,14 @@
             if is_adapter(artifact)
             and artifact not in using
             and artifact not in engine.loading
-            and self._demand.is_settled(max(held.assigned_at, held.loaded_at))
+            and self._demand.is_use_reported(
+                max(held.assigned_at, held.loaded_at)
+            )
         ]
-        return min(idle, key=lambda a: (self.worth(a), a), default=None)
+        return min(idle, key=lambda a: (self.copy_value(a), a), default=None)
 
     def describe(self) -> dict[str, int]:
-        """Returns counts that say why an adapter finds no place."""
+        """Returns counts that explain why an adapter cannot be loaded."""
         using = [
             self._demand.in_use(e.name) & e.held.keys() for e in self.engines
         ]
@@ -259,5 +293,5 @@
         }
 
     def invalidate_engine(self, engine: Engine) -> None:
-        """Looks at an engine anew: something was chosen for it."""
+        """Discards what was computed for an engine, after a load was placed."""
         self._victims.pop(engine.name, None)
--- a/src/ridgesill/core/fleet/reading_time.py
+++ b/src/ridgesill/core/fleet/reading_time.py
@@ -1,86 +1,116 @@
-"""How long engines take to read prompts, learned from what they have read.
+"""How long engines take to read (prefill) prompts, learned from past prompts.
 
-Load pattern: prompts between a hundred and forty thousand tokens on engines of
-unlike speeds. Attention makes each token of a long prompt dearer than one of a
-short prompt, so that a rate alone foretells the longest a third too short, and
-whatever is put behind one of those is late.
+Load pattern: prompts have a hundred to forty thousand tokens, and engines
+differ in speed. Because of attention, a token of a long prompt takes longer
+than a token of a short one. A constant rate predicts a third too little for the
+longest prompts, and makes every request late that is queued behind one of them.
 """
 
 import attrs
 
-# Seconds for a thousand tokens until engines have shown how fast they read:
-# the mean of the engines that the users have described.
-_USUAL_SECONDS = 1 / 30
-# Unit of the tokens that the curve is fitted over, for numbers near one.
-_THOUSAND = 1000.0
-# Of the weight of earlier readings, what is left with each new one; some 200
-# readings count, a few tens of seconds of a deployment's long prompts.
-_FORGETTING = 0.995
-# How sure the first guess is, as variances of its two coefficients: a reading
-# or two of a long prompt outweigh it.
-_FIRST_VARIANCES = (1e-4, 1e-7)
-# Variance of a reading's seconds around the curve: steps of the batch and
-# prompts that come between, as emulated.
-_NOISE = 0.01
-# Weight of the newest reading in an engine's own pace.
-_SMOOTHING = 0.1
-# Parts that were kept are not read, and make a reading look fast; a wait that
-# nobody here knows of makes it look slow. Beyond this factor it is one of both.
-_PLAUSIBLE = 2.0
-# A reading tells something only when it is long enough for a step of the
-# batch, some 30 ms, to matter little.
-_TELLING_TOKENS = 2000
+# Seconds for a thousand tokens until engines have been observed: the mean over
+# typical engines.
+_DEFAULT_SECONDS_PER_THOUSAND = 1 / 30
+# Tokens per unit of the fitted curve, which keeps its coefficients near one.
+_TOKENS_PER_UNIT = 1000.0
+# Factor by which the weight of earlier observations shrinks with each new one.
+# It leaves about 200 observations, which are some tens of seconds of a
+# deployment's long prompts.
+_FORGETTING_FACTOR = 0.995
+# Variances of the initial values of the two coefficients. They are large enough
+# for one or two long prompts to outweigh the initial values.
+_INITIAL_VARIANCES = (1e-4, 1e-7)
+# Variance of the observed seconds around the curve. It is caused by the steps
+# of the batch and by prompts that are read in between.
+_NOISE_VARIANCE = 0.01
+# Weight of the newest observation in an engine's own pace.
+_PACE_SMOOTHING = 0.1
+# Greatest factor between an observed and an expected time; beyond it the
+# observation is clipped. Cached parts of a prompt are not read and make an
+# engine look fast, and a wait that is unknown here makes it look slow.
+_MAX_PLAUSIBLE_FACTOR = 2.0
+# Least length of an observed prompt, in tokens. For shorter prompts the
+# duration of a batch step, about 30 ms, distorts the time too much.
+_MIN_TOKENS = 2000
 
 
 @attrs.define
-class _Curve:
-    """Seconds of a reading by tokens and their square, fitted recursively."""
+class _ReadTimeCurve:
+    """Seconds as a function of tokens: a linear and a square term.
 
-    linear: float = _USUAL_SECONDS
+    The coefficients are fitted by recursive least squares with forgetting.
+
+    Attributes:
+        linear: seconds per thousand tokens.
+        square: seconds per square of a thousand tokens.
+    """
+
+    linear: float = _DEFAULT_SECONDS_PER_THOUSAND
     square: float = 0.0
-    # Covariance of both.
-    _ll: float = _FIRST_VARIANCES[0]
-    _ls: float = 0.0
-    _ss: float = _FIRST_VARIANCES[1]
+    # Covariance matrix of both coefficients.
+    _linear_variance: float = _INITIAL_VARIANCES[0]
+    _covariance: float = 0.0
+    _square_variance: float = _INITIAL_VARIANCES[1]
 
     def seconds(self, tokens: float) -> float:
-        """Returns what an engine of mean pace takes."""
-        x = tokens / _THOUSAND
+        """Returns how long an engine of pace 1 takes, in seconds."""
+        x = tokens / _TOKENS_PER_UNIT
         return max(self.linear * x + self.square * x * x, 0.0)
 
-    def note(self, tokens: float, seconds: float) -> None:
-        """Takes a reading: recursive least squares with forgetting."""
-        x = tokens / _THOUSAND
+    def record(self, tokens: float, seconds: float) -> None:
+        """Updates the coefficients from one observation.
+
+        Args:
+            tokens: the length of the prompt.
+            seconds: how long an engine of pace 1 took to read it.
+        """
+        x = tokens / _TOKENS_PER_UNIT
         y = x * x
-        toward_l = self._ll * x + self._ls * y
-        toward_s = self._ls * x + self._ss * y
-        total = _FORGETTING * _NOISE + x * toward_l + y * toward_s
-        gain_l, gain_s = toward_l / total, toward_s / total
+        linear_projection = self._linear_variance * x + self._covariance * y
+        square_projection = self._covariance * x + self._square_variance * y
+        innovation_variance = (
+            _FORGETTING_FACTOR * _NOISE_VARIANCE
+            + x * linear_projection
+            + y * square_projection
+        )
+        linear_gain, square_gain = (
+            linear_projection / innovation_variance,
+            square_projection / innovation_variance,
+        )
         error = seconds - (self.linear * x + self.square * y)
-        self.linear += gain_l * error
-        self.square = max(self.square + gain_s * error, 0.0)
-        self._ll = min(
-            (self._ll - gain_l * toward_l) / _FORGETTING, _FIRST_VARIANCES[0]
+        self.linear += linear_gain * error
+        self.square = max(self.square + square_gain * error, 0.0)
+        self._linear_variance = min(
+            (self._linear_variance - linear_gain * linear_projection)
+            / _FORGETTING_FACTOR,
+            _INITIAL_VARIANCES[0],
         )
-        self._ls = (self._ls - gain_l * toward_s) / _FORGETTING
-        self._ss = min(
-            (self._ss - gain_s * toward_s) / _FORGETTING, _FIRST_VARIANCES[1]
+        self._covariance = (
+            self._covariance - linear_gain * square_projection
+        ) / _FORGETTING_FACTOR
+        self._square_variance = min(
+            (self._square_variance - square_gain * square_projection)
+            / _FORGETTING_FACTOR,
+            _INITIAL_VARIANCES[1],
         )
 
 
 class ReadingTimes:
-    """The readings of all engines: one curve, and a pace for each engine."""
+    """Predicts reading times from one curve and a pace for each engine.
+
+    The pace is a factor on the time that the curve gives, and 1 at first.
+    """
 
     def __init__(self) -> None:
-        self._curve = _Curve()
+        self._curve = _ReadTimeCurve()
         self._paces: dict[str, float] = {}
 
     def seconds(self, engine: str, tokens: int) -> float:
-        """Returns how long an engine takes to read a prompt."""
+        """Returns how long an engine takes to read a prompt, in seconds."""
         return self._curve.seconds(tokens) * self._pace(engine)
 
     def mean_seconds(self, tokens: int) -> float:
-        """Returns how long the engines take to read a prompt on average."""
+        """Returns how long an average engine takes to read, in seconds."""
         return self._curve.seconds(tokens) * self._mean_pace()
 
     def _mean_pace(self) -> float:
@@ -93,19 +123,22 @@
         return self._mean_pace() if pace is None else pace
 
     def record(self, engine: str, tokens: int, seconds: float) -> None:
-        """Takes how long an engine took for a prompt."""
-        if tokens < _TELLING_TOKENS or seconds <= 0:
+        """Records how long an engine took to read a prompt, in seconds."""
+        if tokens < _MIN_TOKENS or seconds <= 0:
             return
         expected = self.seconds(engine, tokens)
-        least, most = expected / _PLAUSIBLE, expected * _PLAUSIBLE
-        seconds = min(max(seconds, least), most)
+        shortest, longest = (
+            expected / _MAX_PLAUSIBLE_FACTOR,
+            expected * _MAX_PLAUSIBLE_FACTOR,
+        )
+        seconds = min(max(seconds, shortest), longest)
         pace = self._pace(engine)
-        share = seconds / expected
-        self._paces[engine] = pace * (1 + _SMOOTHING * (share - 1))
-        self._curve.note(tokens, seconds / pace)
+        ratio = seconds / expected
+        self._paces[engine] = pace * (1 + _PACE_SMOOTHING * (ratio - 1))
+        self._curve.record(tokens, seconds / pace)
 
     def discard_except(self, engines: set[str]) -> None:
-        """Forgets engines that are gone."""
+        """Discards the paces of all engines but the given ones."""
         for name in list(self._paces):
             if name not in engines:
                 del self._paces[name]
--- a/src/ridgesill/core/fleet/sent_orders.py
+++ b/src/ridgesill/core/fleet/sent_orders.py
@@ -1,11 +1,12 @@
-"""Orders whose answer is not known, which may still be carried out.
-
-Load pattern: for seconds, six orders in ten get no answer and are carried out
-2 to 12 seconds later; meanwhile engines start again under the name that they
-had, with the count of orders at 0. Each order names the count at which alone it
-is carried out, so that on one start of an engine at most one of those that name
-the same count is, and only in the state that it was checked against. On a later
-start the same counts come again, in another state.
+"""Orders without an answer, which an engine may still carry out.
+
+Load pattern: for some seconds, six of ten orders get no answer and are carried
+out 2 to 12 seconds later, while engines restart under the same name with an
+order count of 0. Each order names the order count at which alone it is carried
+out. Of the orders that name the same count, one start of an engine therefore
+carries out at most one, and only in the state for which it was checked. A later
+start reaches the same counts again in a different state, so orders to the
+earlier start can be carried out there unchecked.
 """
 
 import collections
@@ -14,12 +15,12 @@
 
 from ridgesill.core.fleet.orders import Action, FleetOrder
 
-# How long an order without an answer may still be carried out, in seconds
-# (the platform's protocol: 2 to 12, and the way there).
+# How long an order without an answer may still be carried out, in seconds:
+# engines delay it by 2 to 12 seconds, and it takes time to reach the engine.
 UNANSWERED_SECONDS = 13.0
-# Orders remembered for one instance; at ten a second, each given five times,
-# fewer fall within that time.
-_MOST = 1024
+# Orders remembered for one instance. Fewer are sent within the time above, even
+# at ten orders a second with five copies each.
+_MAX_ORDERS_PER_INSTANCE = 1024
 
 
 @attrs.frozen
@@ -27,9 +28,13 @@
     """An order that may still be carried out.
 
     Attributes:
-        start: of the engine that it was meant for; 0 when engines don't tell.
-        revision: the count of orders at which alone it is carried out.
-        until: when it can't be any more, on the owner's clock, in seconds.
+        action: whether the artifact is loaded or unloaded.
+        artifact: the artifact that the order names.
+        start: the start of the engine for which the order was meant; 0 if
+            engines do not report their starts.
+        revision: the order count at which alone it is carried out.
+        expires_at: when it can no longer be carried out, in seconds on the
+            owner's clock.
     """
 
     action: Action
@@ -40,7 +45,7 @@
 
 
 class SentOrders:
-    """The orders of an owner without an answer, by instance of an engine."""
+    """An owner's orders without an answer, by engine instance."""
 
     def __init__(self) -> None:
         self._sent: dict[str, collections.deque[SentOrder]] = {}
@@ -48,22 +53,31 @@
     def record(
         self, instance: str, start: int, order: FleetOrder, now: float
     ) -> SentOrder:
-        """Notes an order that is about to leave."""
+        """Records an order that is about to be sent.
+
+        Args:
+            instance: the name that the engine uses at each of its starts.
+            start: the start of the engine for which the order is meant.
+            order: the order.
+            now: the owner's clock, in seconds.
+        """
         sent = _to_sent(order, start, now)
-        kept = self._sent.setdefault(instance, collections.deque(maxlen=_MOST))
-        kept.append(sent)
+        remembered = self._sent.setdefault(
+            instance, collections.deque(maxlen=_MAX_ORDERS_PER_INSTANCE)
+        )
+        remembered.append(sent)
         return sent
 
     def discard(self, instance: str, sent: SentOrder) -> None:
-        """Notes that an order was answered, or surely never left."""
-        kept = self._sent.get(instance)
-        if kept is not None and sent in kept:
-            kept.remove(sent)
+        """Discards an order that was answered or was certainly not sent."""
+        remembered = self._sent.get(instance)
+        if remembered is not None and sent in remembered:
+            remembered.remove(sent)
 
     def late_orders(
         self, instance: str, start: int, now: float
     ) -> list[SentOrder]:
-        """Returns what was meant for earlier starts and may run on this one."""
+        """Returns orders to other starts that a start may still carry out."""
         return [
             sent
             for sent in self._sent.get(instance, ())
@@ -73,50 +87,62 @@
     def possible_loads_after(
         self, instance: str, order: FleetOrder, now: float
     ) -> list[set[str]]:
-        """Returns what a next start may load by itself, were an order sent."""
-        kept = self._sent.get(instance, ())
-        return find_load_chain([*kept, _to_sent(order, 0, now)], 0, now)
+        """Returns what the next start may load on its own if an order is sent.
+
+        Args:
+            instance: the name that the engine uses at each of its starts.
+            order: the order that may be sent.
+            now: the owner's clock, in seconds.
+
+        Returns:
+            For each order count from 0 the artifacts of which at most one is
+            loaded, as in find_load_chain().
+        """
+        remembered = self._sent.get(instance, ())
+        return find_load_chain([*remembered, _to_sent(order, 0, now)], 0, now)
 
     def prune_expired(self, now: float) -> None:
-        """Forgets what can't be carried out any more."""
-        for instance, kept in list(self._sent.items()):
-            while kept and kept[0].expires_at <= now:
-                kept.popleft()
-            if not kept:
+        """Discards orders that can no longer be carried out."""
+        for instance, remembered in list(self._sent.items()):
+            while remembered and remembered[0].expires_at <= now:
+                remembered.popleft()
+            if not remembered:
                 del self._sent[instance]
 
 
 def _to_sent(order: FleetOrder, start: int, now: float) -> SentOrder:
-    until = now + UNANSWERED_SECONDS
-    return SentOrder(order.action, order.artifact, start, order.revision, until)
+    expires_at = now + UNANSWERED_SECONDS
+    return SentOrder(
+        order.action, order.artifact, start, order.revision, expires_at
+    )
 
 
 def find_load_chain(
-    strays: list[SentOrder], revision: int, now: float
+    candidates: list[SentOrder], revision: int, now: float
 ) -> list[set[str]]:
-    """Returns what an engine may load by itself from a count on.
+    """Returns what an engine may load from late orders, count by count.
 
-    A stray is carried out at its count alone, and moves it by one. So those at
-    a count, the next one and so on may run one after another; where a count is
-    missing the chain ends.
+    A late order is carried out only at the order count that it names, and
+    raises the count by one. Late orders at consecutive counts can therefore run
+    one after another. The chain ends at the first count that no order names.
 
     Args:
-        strays: orders of earlier starts.
-        revision: the engine's count of orders.
-        now: the clock, in seconds.
+        candidates: the orders that may still be carried out.
+        revision: the order count of the engine.
+        now: the owner's clock, in seconds.
 
     Returns:
-        For each count in turn the artifacts of its loads, one of which at
-        most is carried out.
+        For each consecutive order count the artifacts of its load orders, of
+        which at most one is carried out.
     """
-    by_count: dict[int, set[str]] = {}
-    for sent in strays:
+    loads_by_revision: dict[int, set[str]] = {}
+    for sent in candidates:
         if sent.expires_at > now:
-            loads = by_count.setdefault(sent.revision, set())
+            loads = loads_by_revision.setdefault(sent.revision, set())
             if sent.action is Action.LOAD:
                 loads.add(sent.artifact)
     chain = []
-    while revision in by_count:
-        chain.append(by_count[revision])
+    while revision in loads_by_revision:
+        chain.append(loads_by_revision[revision])
         revision += 1
     return chain
--- a/src/ridgesill/core/fleet/wants.py
+++ b/src/ridgesill/core/fleet/wants.py
@@ -1,29 +1,30 @@
-"""Wants that wait for a place on an engine, and which of them goes first."""
+"""Requests that wait for an artifact to be loaded, and which goes first."""
 
 import attrs
 
 from ridgesill.core.fleet.messages import WantArtifact
 
-# From the order to load until the first event of an answer, beside the reading
-# of its prompt, in seconds: the load from the store takes 0.25 (the users'
-# second letter), the rest is the way there and a step of the batch.
+# Time from the order to load until the first event of an answer, without the
+# time to read the prompt, in seconds. The load from the store takes 0.25
+# seconds; the rest is the transit of the order and one step of the batch.
 LOAD_SECONDS = 0.3
-# The same for what the engine had lately, which loads ten times as fast.
+# The same for an adapter in the engine's local cache, which loads ten times as
+# fast.
 RELOAD_SECONDS = 0.08
-# What an answer that comes late is worth beside one in time; the sheets pay
-# three tenths of the whole.
-_LATE_WORTH = 0.3
+# Value of a late answer; an answer in time counts as 1.
+_LATE_VALUE = 0.3
 
 
 @attrs.define(eq=False)
 class Waiter:
-    """One request that waits.
+    """One request that waits for an artifact.
 
     Attributes:
-        goal_at: when its first event is late.
-        read_seconds: that its prompt takes to read.
-        request: its id.
-        tokens: of its prompt.
+        goal_at: the time after which its first event is late, in seconds.
+        read_seconds: the time that an engine takes to read its prompt, in
+            seconds.
+        request: the id of the request.
+        tokens: the length of its prompt in tokens.
     """
 
     goal_at: float
@@ -32,7 +33,7 @@
     tokens: int = 0
 
     def can_meet_goal(self, now: float) -> bool:
-        """Whether a load that begins now comes early enough."""
+        """Returns whether the first event is in time if a load starts now."""
         seconds = LOAD_SECONDS + self.read_seconds
         return self.goal_at >= now + seconds
 
@@ -42,9 +43,11 @@
     """All requests that wait for the same artifact.
 
     Attributes:
-        want: of the first of them.
-        avoid: engines that failed one of them.
-        tries: engines that failed to load it.
+        want: the message of the first of these requests.
+        asked_at: when that message arrived, in seconds.
+        waiters: the requests.
+        avoid: the names of engines that failed one of the requests.
+        failed_loads: the number of loads of the artifact that failed.
     """
 
     want: WantArtifact
@@ -54,14 +57,14 @@
     failed_loads: int = 0
 
     def value(self, now: float) -> float:
-        """Returns what a load that begins now is worth, in requests."""
+        """Returns the value of a load that starts now, in requests."""
         return sum(
-            1.0 if waiter.can_meet_goal(now) else _LATE_WORTH
+            1.0 if waiter.can_meet_goal(now) else _LATE_VALUE
             for waiter in self.waiters
         )
 
     def can_meet_goal(self, now: float) -> bool:
-        """Whether a load that begins now comes early enough for any."""
+        """Returns whether any request is in time if a load starts now."""
         return any(waiter.can_meet_goal(now) for waiter in self.waiters)
 
     def earliest_goal(self, now: float) -> float:
@@ -71,14 +74,15 @@
 
 
 class WantQueue:
-    """Wants without a place, by what they are worth.
-
-    When there are too few places for all, serving in order of arrival makes
-    every answer late. So those that can still be in time go first; those that
-    are late take what is left. Among each, those go first that give the place
-    back soon: an answer of 300 tokens holds one for 2 to 8 s, and a long prompt
-    with a short answer waited behind them (emulated, four seeds: 0.565 to 0.596
-    of the worth). Then the nearest goal.
+    """Artifacts that no engine can load yet, ordered by the value of the load.
+
+    When adapter slots are scarce, serving requests in order of arrival makes
+    all answers late. Requests that can still meet their goal therefore go
+    first, and late requests take what is left. Within each group, requests
+    whose answer is short go first, because they free their slot soon: an answer
+    of 300 tokens holds a slot for 2 to 8 seconds, and long prompts with short
+    answers waited behind such answers. This raised the share of request value
+    that is earned from 0.565 to 0.596. Remaining ties go to the earliest goal.
     """
 
     def __init__(self) -> None:
@@ -92,17 +96,17 @@
         return self._waiting.get(key) is waiting
 
     def add(self, waiting: ArtifactWaiters) -> None:
-        """Takes what waits for a place."""
+        """Adds requests that wait for the same artifact."""
         want = waiting.want
         self._waiting[(want.service, want.artifact)] = waiting
 
     def discard(self, waiting: ArtifactWaiters) -> None:
-        """Forgets what waits no more."""
+        """Removes requests that no longer wait."""
         if waiting in self:
             del self._waiting[(waiting.want.service, waiting.want.artifact)]
 
     def ranked(self, now: float) -> list[ArtifactWaiters]:
-        """Returns all, those that should get a place first at the start."""
+        """Returns all entries, sorted by which should be loaded first."""
         return sorted(
             self._waiting.values(),
             key=lambda waiting: (
