--- a/testing/app/order_world.py
+++ b/testing/app/order_world.py
@@ -1,4 +1,4 @@
-"""Control nodes that own a fleet over a faulty network, on a paused clock."""
+"""Control nodes that own a fleet over a faulty network, in simulated time."""
 
 import asyncio
 import random
@@ -33,16 +33,24 @@
 
 VOTERS = tuple(f"10.0.0.{number}:70" for number in range(1, 6))
 LEASE = 3.0
-_HEARTBEAT = 0.6
+_HEARTBEAT_SECONDS = 0.6
 _SERVICE = "s"
-_PLACES = 3
-_ADAPTERS = 30
+_ADAPTER_SLOTS = 3
+_ADAPTER_COUNT = 30
 _TIMING = Timing(heartbeat=0.15, election_min=1.2, election_max=1.9)
 
 
 @attrs.frozen
-class SeenOrder:
-    """An order as its engine saw it arrive."""
+class ReceivedOrder:
+    """An order as it arrived at its engine.
+
+    Attributes:
+        at: when it arrived, in seconds.
+        engine: the address of the engine.
+        holder: the holder that the order names.
+        sender: the node that sent it.
+        token: the fencing token that the order names.
+    """
 
     at: float
     engine: str
@@ -51,8 +59,13 @@
     token: int
 
 
-class RecordedChannels:
-    """A node's channels to engines, which notes what it orders."""
+class RecordingChannels:
+    """A node's connections to engines, which record the orders sent.
+
+    Args:
+        world: records the orders and has the engines.
+        name: the name of the node.
+    """
 
     def __init__(self, world: "OrderWorld", name: str) -> None:
         self._world = world
@@ -61,26 +74,26 @@
     async def send(
         self, address: str, request: HttpRequest
     ) -> SimulatedExchange:
-        """Carries a call."""
+        """Records a request that is an order, and forwards it to the engine."""
         if request.method == b"POST":
             body = msgspec.json.decode(request.body)
-            seen = SeenOrder(
+            received = ReceivedOrder(
                 asyncio.get_running_loop().time(),
                 address,
                 body["holder"],
                 self._name,
                 body["fencing_token"],
             )
-            self._world.orders.append(seen)
+            self._world.orders.append(received)
         return await self._world.channels.send(address, request)
 
     def sweep(self) -> None:
-        """Closes nothing."""
+        """Does nothing, as there are no idle connections."""
 
 
 @attrs.define
 class Member:
-    """A node and its tasks."""
+    """A running node and its tasks."""
 
     control: Control
     owner: FleetOwner
@@ -88,12 +101,12 @@
 
 
 class OrderWorld(FaultyNetwork):
-    """Five voters and some engines that are asked for adapters all the time.
+    """Five voters and four engines, with constant requests for adapters.
 
     Args:
-        seed: of the faults.
-        loss: share of the messages between nodes that are lost.
-        lost_orders: share of the orders that get no answer.
+        seed: the seed of the faults.
+        loss: the share of messages between nodes that are lost.
+        lost_orders: the share of orders that get no answer.
     """
 
     def __init__(
@@ -101,8 +114,10 @@
     ) -> None:
         super().__init__(seed, loss, (0.0005, 0.01))
         self.members: dict[str, Member] = {}
-        self.orders: list[SeenOrder] = []
-        self.engines = [SimulatedEngine(f"u{n}", _PLACES) for n in range(4)]
+        self.orders: list[ReceivedOrder] = []
+        self.engines = [
+            SimulatedEngine(f"u{n}", _ADAPTER_SLOTS) for n in range(4)
+        ]
         self.channels = SimulatedChannels(
             {f"10.0.1.{n}:80": e for n, e in enumerate(self.engines)},
             self.rng,
@@ -121,15 +136,15 @@
     # -- nodes ---------------------------------------------------------
 
     async def start(self) -> None:
-        """Starts all nodes and what asks them."""
+        """Starts all nodes, the heartbeats and the requests."""
         for name in VOTERS:
             self.start_node(name)
-        self.spawn(self._beat())
-        self.spawn(self._want())
+        self.spawn(self._send_heartbeats())
+        self.spawn(self._request_adapters())
         self.spawn(self._sample_reports())
 
     def start_node(self, name: str) -> None:
-        """Starts a node from its disk."""
+        """Starts a node from its stored log."""
         self._incarnation += 1
         storage = self._storages[name]
         node = Node(name, f"i{self._incarnation}", name, "a", storage.identity)
@@ -152,13 +167,13 @@
         owner = FleetOwner(
             control,
             follower,
-            RecordedChannels(self, name),  # type: ignore[arg-type]
+            RecordingChannels(self, name),  # type: ignore[arg-type]
             PlatformEngines(),
             LEASE,
-            _HEARTBEAT,
+            _HEARTBEAT_SECONDS,
         )
-        owner.note_table(make_table(_SERVICE, _PLACES))
-        works = [
+        owner.note_table(make_table(_SERVICE, _ADAPTER_SLOTS))
+        coroutines = [
             control.driver.run(),
             control.follow(),
             control.lead(),
@@ -166,27 +181,27 @@
             owner.holder.run(),
             follower.run(),
         ]
-        tasks = [asyncio.ensure_future(work) for work in works]
+        tasks = [asyncio.ensure_future(work) for work in coroutines]
         self.members[name] = Member(control, owner, tasks)
 
     def stop_node(self, name: str) -> None:
-        """Ends a node at once."""
+        """Stops a node at once."""
         for task in self.members.pop(name).tasks:
             task.cancel()
 
     def stop(self) -> None:
-        """Ends all."""
+        """Stops all nodes and tasks."""
         for name in list(self.members):
             self.stop_node(name)
         self.stop_spawned()
 
     def leader(self) -> str:
-        """Returns the node that surely owns the fleet; empty if none."""
+        """Returns the node that certainly owns the fleet; empty if none."""
         owners = (n for n, m in self.members.items() if m.owner.is_owner())
         return next(owners, "")
 
     def holder_of(self, address: str) -> str:
-        """Returns who holds an engine's order lease, as the leader says."""
+        """Returns the holder of an engine's order lease per the leader."""
         state = self.members[self.leader()].control.state
         owner = state.owners.get(f"orders/{address}")
         return owner.node if owner else ""
@@ -194,15 +209,15 @@
     # -- network -------------------------------------------------------
 
     def names(self) -> Iterable[str]:
-        """Returns all nodes."""
+        """Returns the names of all nodes."""
         return VOTERS
 
     def running(self) -> Container[str]:
-        """Returns the nodes that take messages."""
+        """Returns the nodes that receive messages."""
         return self.members
 
     async def take(self, sender: str, name: str, message: Any) -> Any:
-        """Has a node take a message; returns its answer."""
+        """Passes a message to a node, and returns its answer."""
         member = self.members[name]
         if isinstance(message, ReplicaMessage):
             if member.control.driver is not None:
@@ -220,7 +235,7 @@
 
     # -- engines and callers -------------------------------------------
 
-    async def _beat(self) -> None:
+    async def _send_heartbeats(self) -> None:
         sequence = 0
         while True:
             sequence += 1
@@ -240,42 +255,45 @@
                 leader = self.leader()
                 if leader:
                     self.members[leader].owner.take_heartbeat(heartbeat)
-            await asyncio.sleep(_HEARTBEAT)
+            await asyncio.sleep(_HEARTBEAT_SECONDS)
 
     async def _sample_reports(self) -> None:
-        """Has engines note what they would report, however seldom asked."""
+        """Has engines record reports at fixed intervals, as real ones do.
+
+        A report that is requested is answered with an older sample.
+        """
         while True:
             for engine in self.engines:
                 engine.report(self._loop.time())
             await asyncio.sleep(0.05)
 
-    async def _want(self) -> None:
+    async def _request_adapters(self) -> None:
         while True:
             leader = self.leader()
             if leader:
-                adapter = self.rng.randrange(_ADAPTERS)
+                adapter = self.rng.randrange(_ADAPTER_COUNT)
                 want = WantArtifact(_SERVICE, f"{MODEL}/a{adapter}", 0)
                 self.spawn(self.members[leader].owner.handle_want(want))
             await asyncio.sleep(0.05)
 
 
-def find_violations(orders: list[SeenOrder]) -> list[str]:
-    """Returns what breaks the promises of order leases, in words."""
+def find_violations(orders: list[ReceivedOrder]) -> list[str]:
+    """Returns a description of each violation of an order lease."""
     found = []
-    last: dict[str, SeenOrder] = {}
+    last: dict[str, ReceivedOrder] = {}
     for order in orders:
         before = last.get(order.engine)
         last[order.engine] = order
         if order.holder != order.sender:
-            found.append(f"{order} is sent by another than its holder")
+            found.append(f"{order} was not sent by its holder")
         if before is None:
             continue
         if order.token < before.token:
-            found.append(f"{order}: the token falls after {before}")
+            found.append(f"{order}: lower token than {before}")
         if order.holder == before.holder:
             continue
         if order.token == before.token:
-            found.append(f"{order}: shares a token with {before}")
+            found.append(f"{order}: same token as {before}")
         if order.at - before.at < LEASE:
-            found.append(f"{order}: within the lease of {before}")
+            found.append(f"{order}: sent within the lease of {before}")
     return found
--- a/testing/app/test_late_orders.py
+++ b/testing/app/test_late_orders.py
@@ -12,57 +12,55 @@
 pytestmark = pytest.mark.looptime
 
 
-def want(adapter: str, patience: float = 2.0) -> WantArtifact:
-    """Returns a want for an adapter."""
+def make_want(adapter: str, patience: float = 2.0) -> WantArtifact:
+    """Returns a request for an adapter."""
     return WantArtifact("s", f"base/{adapter}", 0, (), patience)
 
 
-async def replace(loads: EngineLoads, world: EngineWorld, adapter: str) -> None:
-    """Unloads one adapter of the only engine."""
+async def unload_adapter(
+    loads: EngineLoads, world: EngineWorld, adapter: str
+) -> None:
+    """Unloads an adapter from the only engine."""
     engine = world.placement.engines["u0"]
     loads.let_go(engine, f"base/{adapter}")
     assert await loads.unload(engine, f"base/{adapter}")
 
 
-class TestOrdersCarriedOutLate:
-    async def test_a_copy_of_an_order_names_the_count_that_the_first_named(
+class TestLateOrders:
+    async def test_all_copies_of_an_order_name_the_same_count(
         self,
     ) -> None:
-        # An engine of 16 places was made to load a 17th adapter and fell. An
-        # order without an answer was sent again, and between the two the
-        # upkeep had forgotten how many orders the engine had taken, so that
-        # the copy named no count and was carried out whenever it arrived:
-        #
-        #     8.998  load a901 rev 54 no answer in time
-        #     9.023  fleet:revision_forgotten revision=54 reason=overdue
-        #     9.102  load a901 rev None no answer in time
-        #     9.107  load a901 rev None taken 202
-        #    13.301  unload a901 rev 76 holds 200
-        #    14.326  the engine falls
+        # An engine with 16 adapter slots was ordered to load a 17th adapter and
+        # crashed. A load had no answer and was sent again. Between the two
+        # copies the upkeep marked the order count as unknown, so that the
+        # second copy named none. That copy was accepted and carried out
+        # whenever it arrived, after its slot had been given to another adapter.
         world = EngineWorld(1, 3)
         engine = world.placement.engines["u0"]
-        await world.loads.want(want("a1"))
-        tending = asyncio.create_task(world.tend())
-        # Somebody else's load is due to be asked about while copies of a2's
-        # are sent: four of them unheard, and carried out after 2 s and more.
+        await world.loads.want(make_want("a1"))
+        maintenance = asyncio.create_task(world.tend())
+        # Another load becomes overdue while copies of the load of a2 are sent.
+        # Four of these copies get no answer and are carried out after 2 s or
+        # more.
         engine.record_load_in_progress("base/other", world.loop.time() - 0.95)
         world.channels.fates.extend([2.0, 3.0, 10.0, 11.0])
-        await world.loads.want(want("a2"))
+        await world.loads.want(make_want("a2"))
         await asyncio.sleep(3.0)
-        await replace(world.loads.engine_loads, world, "a2")
+        await unload_adapter(world.loads.engine_loads, world, "a2")
         for adapter in ("a3", "a4"):
-            assert (await world.loads.want(want(adapter))).upstream == "u0"
+            assert (await world.loads.want(make_want(adapter))).upstream == "u0"
         await asyncio.sleep(9.0)
-        tending.cancel()
+        maintenance.cancel()
         sent = world.channels.orders
         assert all("expected_revision" in order for order in sent)
         assert not world.simulated[0].fell
 
-    async def test_one_that_was_not_sent_was_not_refused(self) -> None:
-        # Without a holder of its lease for a moment, an engine was taken for
-        # one that had refused an order, and got none for 0.8 s.
+    async def test_an_order_that_was_not_sent_is_not_a_refusal(self) -> None:
+        # For a moment an engine had no holder of its order lease. The order
+        # that could not be sent was treated as refused by the engine, which
+        # then got no orders for 0.8 s.
         world = EngineWorld(1, 3)
-        await world.loads.want(want("a1"))
+        await world.loads.want(make_want("a1"))
         engine = world.placement.engines["u0"]
         authority, world.authority = world.authority, None
         verdict = await world.orders.send_order(Action.LOAD, engine, "base/a2")
--- a/testing/core/fleet/test_copies.py
+++ b/testing/core/fleet/test_copies.py
@@ -1,4 +1,4 @@
-"""Tests of which adapters get another copy."""
+"""Tests of which adapters get another copy, and where."""
 
 from ridgesill.core.fleet.copies import choose_copies
 from ridgesill.core.fleet.engines import Engine
@@ -10,7 +10,7 @@
 
 
 class CopyWorld:
-    """Two engines of one data centre; one holds what is much wanted."""
+    """Two engines of one data centre, one of which holds a popular adapter."""
 
     def __init__(self) -> None:
         self.placement = Placement()
@@ -24,8 +24,8 @@
             name = HOT if number % 4 == 0 else f"base/a{number}"
             self.placement.record_requests({name: 1}, 0.0)
 
-    def copies(self) -> list[tuple[str, str]]:
-        """Returns adapters and the engines that get them."""
+    def chosen_copies(self) -> list[tuple[str, str]]:
+        """Returns the adapters that get a copy, each with its engine."""
         demand = Demand(
             self.busy,
             lambda _engine: set(),
@@ -35,35 +35,36 @@
         engines = [self.holder, self.other]
         placement_snapshot = self.placement.take_snapshot(engines, demand, 0.0)
         chosen = choose_copies(self.placement.popularity, placement_snapshot)
-        return [(artifact, choice.engine.name) for artifact, choice in chosen]
+        return [(artifact, target.engine.name) for artifact, target in chosen]
 
 
 class TestCopies:
-    def test_prompts_that_wait_at_all_holders_are_a_reason(self) -> None:
+    def test_waiting_prompts_at_all_holders_cause_a_copy(self) -> None:
         world = CopyWorld()
         world.backlog = {"e0": 0.6, "e1": 0.0}
-        assert world.copies() == [(HOT, "e1")]
+        assert world.chosen_copies() == [(HOT, "e1")]
 
-    def test_what_only_a_leaving_engine_holds_is_brought_elsewhere(
+    def test_an_adapter_on_draining_engines_only_is_copied(
         self,
     ) -> None:
         world = CopyWorld()
-        assert world.copies() == []
+        assert world.chosen_copies() == []
         world.holder.draining = True
-        assert world.copies() == [(HOT, "e1")]
+        assert world.chosen_copies() == [(HOT, "e1")]
 
-    def test_long_answers_in_progress_are_none(self) -> None:
-        # A third of the batch makes tokens for seconds; nobody waits.
+    def test_long_answers_in_progress_cause_no_copy(self) -> None:
+        # A third of the batch slots generates tokens for seconds, but no prompt
+        # waits.
         world = CopyWorld()
         world.busy = {"e0": 20, "e1": 2}
-        assert world.copies() == []
+        assert world.chosen_copies() == []
 
-    def test_a_batch_that_fills_up_is(self) -> None:
+    def test_a_full_batch_causes_a_copy(self) -> None:
         world = CopyWorld()
         world.busy = {"e0": 40, "e1": 5}
-        assert world.copies() == [(HOT, "e1")]
+        assert world.chosen_copies() == [(HOT, "e1")]
 
-    def test_an_engine_as_far_behind_gets_none(self) -> None:
+    def test_an_engine_with_a_similar_backlog_gets_no_copy(self) -> None:
         world = CopyWorld()
         world.backlog = {"e0": 0.6, "e1": 0.5}
-        assert world.copies() == []
+        assert world.chosen_copies() == []
--- a/testing/core/fleet/test_engine_capacity.py
+++ b/testing/core/fleet/test_engine_capacity.py
@@ -5,7 +5,8 @@
 from ridgesill.core.fleet.engine_capacity import fits, fits_from_empty
 from ridgesill.core.serving.routes import EngineSpec, Model
 
-# One model or both, and two adapters beside the first or one beside both.
+# Memory for the first model and two adapters, or for both models and one
+# adapter.
 SPEC = EngineSpec(
     slots=8,
     weights_mb=150.0,
@@ -18,41 +19,41 @@
 )
 
 
-class TestTogether:
+class TestFits:
     @pytest.mark.parametrize(
-        ("artifacts", "fit"),
+        ("artifacts", "expected"),
         [
             (set(), True),
             ({"base", "base/a", "base/b"}, True),
             ({"base", "base/a", "base/b", "base/c"}, False),
             ({"base", "other", "base/a"}, True),
             ({"base", "other", "base/a", "other/a"}, False),
-            # A model that no configuration names weighs nothing known.
+            # An unknown model counts as 0 MB.
             ({"base", "gone", "gone/a"}, True),
         ],
     )
-    def test_places_and_megabytes_count(
-        self, artifacts: set[str], fit: bool
+    def test_slots_and_megabytes_are_limited(
+        self, artifacts: set[str], expected: bool
     ) -> None:
-        assert fits(SPEC, artifacts) is fit
+        assert fits(SPEC, artifacts) is expected
 
 
-class TestChainsFromEmpty:
+class TestFitsFromEmpty:
     @pytest.mark.parametrize(
-        ("chain", "fit"),
+        ("chain", "expected"),
         [
             ([], True),
             ([{"base"}, {"base/a"}, {"base/b"}], True),
             ([{"base"}, {"base/a"}, set(), {"base/b"}, {"base/c"}], False),
-            # One of those at a count is carried out.
+            # Only one of the loads at an order count is carried out.
             ([{"base/a", "base/b"}, {"base/c"}], True),
             ([{"base", "other"}, {"base/a", "other/a"}, {"base/b"}], True),
             ([{"base"}, {"other"}, {"base/a"}, {"other/a"}], False),
-            # The same adapter takes one place.
+            # The same adapter takes one slot.
             ([{"base/a"}, set(), {"base/a"}, {"base/b"}], True),
         ],
     )
-    def test_whether_an_empty_engine_has_room(
-        self, chain: list[set[str]], fit: bool
+    def test_a_chain_of_loads_must_fit_in_an_empty_engine(
+        self, chain: list[set[str]], expected: bool
     ) -> None:
-        assert fits_from_empty(SPEC, chain) is fit
+        assert fits_from_empty(SPEC, chain) is expected
--- a/testing/core/fleet/test_engines.py
+++ b/testing/core/fleet/test_engines.py
@@ -1,4 +1,4 @@
-"""Tests of what the owner believes of an engine."""
+"""Tests of the owner's model of an engine."""
 
 import attrs
 import pytest
@@ -31,8 +31,8 @@
     return made
 
 
-class TestPlaces:
-    def test_loads_and_unloads_under_way_take_places(
+class TestAdapterSlots:
+    def test_loads_and_unloads_in_progress_take_slots(
         self, engine: Engine
     ) -> None:
         assert engine.free_adapter_slots() == 1
@@ -41,7 +41,7 @@
         engine.unloading["base/a3"] = PendingUnload(100.0, 1)
         assert engine.free_adapter_slots() == -1
 
-    def test_an_order_without_an_answer_takes_a_place_until_a_report(
+    def test_an_order_without_an_answer_takes_a_slot_until_a_report(
         self, engine: Engine
     ) -> None:
         engine.unanswered["base/a2"] = UnansweredLoad(113.0)
@@ -52,8 +52,8 @@
         assert engine.free_adapter_slots() == 1
 
 
-class TestRoom:
-    def test_a_free_place_without_megabytes_is_none(
+class TestMemory:
+    def test_a_free_slot_without_memory_is_not_enough(
         self, engine: Engine
     ) -> None:
         assert engine.fits_adapter("base/a2")
@@ -62,23 +62,25 @@
         assert not engine.fits_adapter("base/a2")
         assert engine.fits_adapter("base/a2", without="base/a1")
 
-    def test_what_gives_way_must_leave_enough(self, engine: Engine) -> None:
+    def test_an_unload_must_free_enough_memory(self, engine: Engine) -> None:
         engine.spec = attrs.evolve(SPEC, weights_mb=1005.0)
         assert not engine.fits_adapter("base/a2", without="base/a1")
 
 
 class TestBusyReports:
-    def test_one_of_an_unknown_order_settles_nothing(
+    def test_a_busy_report_without_a_known_order_is_not_applied(
         self, engine: Engine
     ) -> None:
-        # What is on its way may be a base model, which reports don't list.
+        # The engine may be loading a base model, which reports do not list.
         engine.unanswered["base"] = UnansweredLoad(113.0, 2)
         engine.apply_report(EngineReport(3, True, {}, {}), 105.0)
         assert engine.revision is None
         assert engine.needs_report(105.0)
         assert engine.possible_artifacts() == {MODEL, "base/a1"}
 
-    def test_one_of_a_known_order_is_believed(self, engine: Engine) -> None:
+    def test_a_busy_report_with_a_known_order_is_applied(
+        self, engine: Engine
+    ) -> None:
         engine.blocking_artifact = "base/a1"
         held = {MODEL: 1, "base/a1": 1}
         engine.apply_report(EngineReport(3, True, held, {}), 105.0)
@@ -86,7 +88,7 @@
 
 
 class TestHeartbeats:
-    def test_one_made_before_an_unload_does_not_bring_it_back(
+    def test_a_heartbeat_from_before_an_unload_is_ignored(
         self, engine: Engine
     ) -> None:
         del engine.held["base/a1"]
@@ -94,13 +96,15 @@
         engine.reconcile({MODEL: 1, "base/a1": 1}, 200.5)
         assert "base/a1" not in engine.held
 
-    def test_a_later_one_does(self, engine: Engine) -> None:
+    def test_a_heartbeat_long_after_an_unload_is_applied(
+        self, engine: Engine
+    ) -> None:
         del engine.held["base/a1"]
         engine.record_unloaded("base/a1", 200.0)
         engine.reconcile({MODEL: 1, "base/a1": 1}, 206.0)
         assert "base/a1" in engine.held
 
-    def test_one_made_before_a_load_does_not_take_it_away(
+    def test_heartbeats_from_before_a_load_do_not_remove_it(
         self, engine: Engine
     ) -> None:
         engine.held["base/a2"] = HeldArtifact(1, 200.0, 200.0)
@@ -108,14 +112,16 @@
             engine.reconcile({MODEL: 1, "base/a1": 1}, at)
         assert "base/a2" in engine.held
 
-    def test_what_several_lack_is_gone(self, engine: Engine) -> None:
+    def test_an_artifact_that_several_heartbeats_lack_is_removed(
+        self, engine: Engine
+    ) -> None:
         for at in (201.0, 202.0, 203.0):
             engine.reconcile({MODEL: 1}, at)
         assert "base/a1" not in engine.held
 
 
 class TestUnloadsWithoutAnswer:
-    def test_what_is_still_there_long_after_is_held_again(
+    def test_an_artifact_still_listed_long_after_is_held_again(
         self, engine: Engine
     ) -> None:
         del engine.held["base/a1"]
@@ -126,14 +132,16 @@
         assert "base/a1" in engine.held
         assert not engine.unloading
 
-    def test_a_report_tells_sooner(self, engine: Engine) -> None:
+    def test_a_report_resolves_it_sooner(self, engine: Engine) -> None:
         del engine.held["base/a1"]
         engine.unloading["base/a1"] = PendingUnload(200.0, 1)
         report = EngineReport(7, False, {MODEL: 1, "base/a1": 1}, {})
         engine.apply_report(report, 201.5)
         assert "base/a1" in engine.held
 
-    def test_one_that_waits_for_its_runs_goes_on(self, engine: Engine) -> None:
+    def test_an_unload_that_waits_for_requests_stays_pending(
+        self, engine: Engine
+    ) -> None:
         del engine.held["base/a1"]
         engine.unloading["base/a1"] = PendingUnload(200.0, 1)
         engine.blocking_artifact = "base/a1"
@@ -142,7 +150,7 @@
 
 
 class TestReports:
-    def test_what_was_unloaded_just_before_is_not_believed(
+    def test_an_artifact_unloaded_just_before_is_not_held(
         self, engine: Engine
     ) -> None:
         del engine.held["base/a1"]
@@ -152,13 +160,15 @@
         assert engine.revision == 7
         assert "base/a1" not in engine.held
 
-    def test_what_an_earlier_owner_unloaded_is_held_no_more(
+    def test_an_artifact_that_an_earlier_owner_unloaded_is_discarded(
         self, engine: Engine
     ) -> None:
         engine.apply_report(EngineReport(7, False, {MODEL: 1}, {}), 200.0)
         assert set(engine.held) == {MODEL}
 
-    def test_what_was_loaded_just_before_stays(self, engine: Engine) -> None:
+    def test_an_artifact_loaded_just_before_is_kept(
+        self, engine: Engine
+    ) -> None:
         engine.held["base/a2"] = HeldArtifact(1, 199.5, 199.5)
         engine.apply_report(EngineReport(7, False, {MODEL: 1}, {}), 200.0)
         assert set(engine.held) == {MODEL, "base/a2"}
@@ -166,23 +176,25 @@
 
 class TestOrdersWithoutAnswer:
     @pytest.mark.parametrize(
-        ("revision", "places"),
+        ("revision", "free_slots"),
         [
-            # The engine had not carried it out when it reported.
+            # The report names the order count of the load, so the engine had
+            # not carried it out and may still do so.
             (3, 0),
-            # It took an order at that count, and doesn't hold the adapter.
+            # The report names a later order count, and the engine does not hold
+            # the adapter.
             (4, 1),
         ],
     )
-    def test_a_report_tells_what_became_of_a_load(
-        self, engine: Engine, revision: int, places: int
+    def test_a_report_resolves_a_load(
+        self, engine: Engine, revision: int, free_slots: int
     ) -> None:
         engine.unanswered["base/a2"] = UnansweredLoad(113.0, 3)
         held = {MODEL: 1, "base/a1": 1}
         engine.apply_report(EngineReport(revision, False, held, {}), 105.0)
-        assert engine.free_adapter_slots() == places
+        assert engine.free_adapter_slots() == free_slots
 
-    def test_a_later_order_at_the_same_count_settles_a_load(
+    def test_a_later_order_at_the_same_count_resolves_a_load(
         self, engine: Engine
     ) -> None:
         engine.revision = 3
--- a/testing/core/fleet/test_sent_orders.py
+++ b/testing/core/fleet/test_sent_orders.py
@@ -1,4 +1,4 @@
-"""Tests of orders without an answer, and of what a later start may run."""
+"""Tests of orders without an answer, and of loads that they may cause later."""
 
 import attrs
 import pytest
@@ -17,76 +17,86 @@
 SPEC = EngineSpec(8, 1100.0, 2, 4.0, (Model(MODEL, 1000.0, 1.0, 100, 10.0),))
 
 
-def order(artifact: str, revision: int) -> FleetOrder:
-    """Returns an order to load."""
+def make_order(artifact: str, revision: int) -> FleetOrder:
+    """Returns an order to load an artifact."""
     return FleetOrder(
         Action.LOAD, "i-1", "10.0.0.1:80", artifact, 0, "vm", 7, revision
     )
 
 
-def stray(revision: int, artifact: str = "", until: float = 99.0) -> SentOrder:
-    """Returns an order of an earlier start; an unload without an artifact."""
+def make_late_order(
+    revision: int, artifact: str = "", expires_at: float = 99.0
+) -> SentOrder:
+    """Returns an order to an earlier start, an unload if it has no artifact."""
     action = Action.LOAD if artifact else Action.UNLOAD
-    return SentOrder(action, artifact, 1, revision, until)
+    return SentOrder(action, artifact, 1, revision, expires_at)
 
 
 class TestSentOrders:
-    def test_one_without_an_answer_may_run_on_a_later_start(self) -> None:
+    def test_an_order_without_an_answer_may_run_on_a_later_start(self) -> None:
         sent = SentOrders()
-        sent.record("i", 1, order("base/a1", 5), 10.0)
+        sent.record("i", 1, make_order("base/a1", 5), 10.0)
         assert sent.late_orders("i", 1, 11.0) == []
         assert [s.artifact for s in sent.late_orders("i", 2, 11.0)] == [
             "base/a1"
         ]
         assert sent.late_orders("j", 2, 11.0) == []
 
-    def test_one_that_was_answered_will_not(self) -> None:
+    def test_an_answered_order_is_discarded(self) -> None:
         sent = SentOrders()
-        sent.discard("i", sent.record("i", 1, order("base/a1", 5), 10.0))
+        sent.discard("i", sent.record("i", 1, make_order("base/a1", 5), 10.0))
         assert sent.late_orders("i", 2, 11.0) == []
 
-    def test_it_is_forgotten_once_it_cannot_be_carried_out(self) -> None:
+    def test_an_expired_order_is_discarded(self) -> None:
         sent = SentOrders()
-        sent.record("i", 1, order("base/a1", 5), 10.0)
+        sent.record("i", 1, make_order("base/a1", 5), 10.0)
         after = 10.0 + UNANSWERED_SECONDS
         assert sent.late_orders("i", 2, after) == []
         sent.prune_expired(after)
         assert sent._sent == {}
 
-    def test_what_is_remembered_is_bounded(self) -> None:
+    def test_the_number_of_remembered_orders_is_bounded(self) -> None:
         sent = SentOrders()
         for number in range(5000):
-            sent.record("i", 1, order("base/a1", number), 10.0)
+            sent.record("i", 1, make_order("base/a1", number), 10.0)
         assert len(sent.late_orders("i", 2, 11.0)) <= 1024
 
 
-class TestChains:
+class TestLoadChains:
     @pytest.mark.parametrize(
-        ("strays", "chain"),
+        ("late_orders_sent", "chain"),
         [
             ([], []),
-            # At the count that the engine has.
-            ([stray(4, "a")], [{"a"}]),
-            # A count is missing between: nothing moves the count over it.
-            ([stray(5, "a")], []),
-            ([stray(4, "a"), stray(5, "b"), stray(7, "c")], [{"a"}, {"b"}]),
-            # An unload moves the count as well.
-            ([stray(4), stray(5, "b")], [set(), {"b"}]),
-            # Of two at one count only one runs; which isn't known.
-            ([stray(4, "a"), stray(4, "b")], [{"a", "b"}]),
-            ([stray(4, "a", until=9.0)], []),
+            # The order names the engine's order count.
+            ([make_late_order(4, "a")], [{"a"}]),
+            # No order names count 4, so the engine does not reach count 5.
+            ([make_late_order(5, "a")], []),
+            (
+                [
+                    make_late_order(4, "a"),
+                    make_late_order(5, "b"),
+                    make_late_order(7, "c"),
+                ],
+                [{"a"}, {"b"}],
+            ),
+            # An unload raises the order count as well.
+            ([make_late_order(4), make_late_order(5, "b")], [set(), {"b"}]),
+            # Only one of two orders at the same count is carried out, and it is
+            # unknown which.
+            ([make_late_order(4, "a"), make_late_order(4, "b")], [{"a", "b"}]),
+            ([make_late_order(4, "a", expires_at=9.0)], []),
         ],
     )
-    def test_what_may_run_one_after_another(
-        self, strays: list[SentOrder], chain: list[set[str]]
+    def test_orders_at_consecutive_counts_form_a_chain(
+        self, late_orders_sent: list[SentOrder], chain: list[set[str]]
     ) -> None:
-        assert find_load_chain(strays, 4, 10.0) == chain
+        assert find_load_chain(late_orders_sent, 4, 10.0) == chain
 
-    def test_an_order_to_be_sent_may_close_a_gap_in_it(self) -> None:
+    def test_an_order_to_be_sent_can_close_a_gap_in_a_chain(self) -> None:
         sent = SentOrders()
-        sent.record("i", 1, order("a", 0), 10.0)
-        sent.record("i", 1, order("c", 2), 10.0)
-        unload = attrs.evolve(order("b", 1), action=Action.UNLOAD)
+        sent.record("i", 1, make_order("a", 0), 10.0)
+        sent.record("i", 1, make_order("c", 2), 10.0)
+        unload = attrs.evolve(make_order("b", 1), action=Action.UNLOAD)
         assert sent.possible_loads_after("i", unload, 11.0) == [
             {"a"},
             set(),
@@ -96,35 +106,35 @@
         assert sent.possible_loads_after("i", unload, after) == []
 
 
-class TestOrdersBesideStrays:
+class TestOrdersBesideLateOrders:
     @pytest.fixture
     def engine(self) -> Engine:
-        """Returns an engine with one of two places taken, at count 3."""
+        """Returns an engine with one of two slots in use, at order count 3."""
         made = Engine("i-1", "10.0.0.1:80", "a", SPEC, revision=3)
         made.apply_resident({MODEL: 1, "base/a1": 1})
         return made
 
-    def test_a_load_that_leaves_no_place_for_a_stray_waits(
+    def test_a_load_that_leaves_no_slot_for_a_late_order_is_unsafe(
         self, engine: Engine
     ) -> None:
         assert engine.is_order_safe(Action.LOAD, "base/a2", 3, 10.0)
-        engine.late_orders = [stray(4, "base/a9")]
+        engine.late_orders = [make_late_order(4, "base/a9")]
         assert not engine.is_order_safe(Action.LOAD, "base/a2", 3, 10.0)
         assert engine.is_order_safe(Action.LOAD, "base/a2", 3, 100.0)
 
-    def test_an_unload_that_may_wait_for_its_runs_keeps_its_place(
+    def test_an_unload_that_may_wait_for_requests_keeps_its_slot(
         self, engine: Engine
     ) -> None:
         engine.apply_resident({"base/a2": 1})
         assert engine.is_order_safe(Action.UNLOAD, "base/a2", 3, 10.0)
-        engine.late_orders = [stray(4, "base/a9")]
+        engine.late_orders = [make_late_order(4, "base/a9")]
         assert not engine.is_order_safe(Action.UNLOAD, "base/a2", 3, 10.0)
 
 
-class TestWhatAnEngineMayHold:
+class TestPossibleArtifacts:
     @pytest.fixture
     def engine(self) -> Engine:
-        """Returns an engine that holds its base model alone."""
+        """Returns an engine that holds only its base model."""
         made = Engine("i-1", "10.0.0.1:80", "a", SPEC, revision=3)
         made.apply_resident({MODEL: 1})
         return made
@@ -135,10 +145,10 @@
         engine.unanswered["base/a2"] = UnansweredLoad(113.0, 3)
         assert engine.used_weights_mb() == 1010.0
 
-    def test_heartbeats_take_nothing_from_it_before_a_report_does(
+    def test_heartbeats_free_no_slot_before_a_report_does(
         self, engine: Engine
     ) -> None:
-        # Heartbeats may be seconds old and name no count of orders.
+        # Heartbeats may be seconds old and do not name an order count.
         engine.apply_resident({"base/a1": 1, "base/a2": 1})
         for at in (201.0, 202.0, 203.0):
             engine.reconcile({MODEL: 1, "base/a1": 1}, at)
@@ -149,7 +159,7 @@
         engine.apply_report(EngineReport(3, False, held, {}), 203.5)
         assert engine.is_order_safe(Action.LOAD, "base/a3", 3, 203.5)
 
-    def test_a_load_that_has_not_left_keeps_no_other_from_leaving(
+    def test_a_load_that_was_not_sent_blocks_no_other_load(
         self, engine: Engine
     ) -> None:
         engine.loading = {
