--- a/src/ridgesill/app/engine_orders.py
+++ b/src/ridgesill/app/engine_orders.py
@@ -412,7 +412,9 @@
             if self._calls.is_leaving(head):
                 self._handle_leaving(engine)
             if head.status != 200:
-                raise ValueError(f"status {head.status}")
+                raise ValueError(
+                    f"report request answered with status {head.status}"
+                )
             report = self._calls.read_report(body)
         except (ChannelError, TimeoutError, ValueError) as error:
             log_message(
--- a/src/ridgesill/core/fleet/assignment.py
+++ b/src/ridgesill/core/fleet/assignment.py
@@ -42,7 +42,7 @@
 
 
 def rank_want(want: WantArtifact, engine: Engine, backlogs: Backlogs) -> int:
-    """Returns the priority rank that a request has at an engine."""
+    """Returns the rank by which an engine's queue orders a request."""
     seconds = backlogs.read_seconds(engine.name, want.tokens)
     return rank_request(seconds, want.goal)
 
--- a/src/ridgesill/core/fleet/copies.py
+++ b/src/ridgesill/core/fleet/copies.py
@@ -2,9 +2,9 @@
 
 Load pattern: a few adapters receive a large part of the requests. One engine
 then reads prompts for them without a pause while other engines are idle. Every
-copy takes a slot from another adapter. Many requests in progress are therefore
-no reason for a copy, as long answers alone cause them. Prompts that wait to be
-read are one.
+copy takes a slot that another adapter could use. A copy is loaded if prompts
+wait to be read, but not because many requests are in progress: long answers
+alone cause that.
 """
 
 from collections.abc import Iterator
@@ -26,15 +26,15 @@
 _IDLE_BACKLOG_SHARE = 0.4
 _IDLE_BUSY_SHARE = 0.7
 # Least share of all requests for which an adapter gets a copy in every data
-# centre, where slots are spare. The traffic between data centres that it saves
-# is worth the load within seconds.
+# centre, where slots are spare. Within seconds the copy saves traffic between
+# data centres that is worth more than the load.
 _PER_DATA_CENTRE_SHARE = 0.035
 # Greatest number of loads in progress on an engine that may load a copy. The
 # remaining loads are reserved for requests whose adapter is missing.
 _MAX_LOADING = 2
 # Number of most requested adapters that are considered.
 _MAX_ADAPTERS = 12
-# Least decayed number of requests from which shares are meaningful.
+# Decayed request count from which shares are meaningful.
 _MIN_REQUESTS = 60.0
 # An adapter that is unloaded for a copy must be worth less than this share of
 # the adapter that gets the copy.
--- a/src/ridgesill/core/fleet/order_leases.py
+++ b/src/ridgesill/core/fleet/order_leases.py
@@ -37,7 +37,7 @@
 # lease of a silent holder.
 _TRANSIT_MARGIN_SECONDS = 0.15
 # How long a new leader collects stamps before it grants leases that nobody
-# holds, in seconds. Without the wait the first VM heard from would get all of
+# holds, in seconds. Otherwise the VM whose stamp arrives first would get all of
 # them.
 _DISCOVERY_SECONDS = 0.5
 
@@ -150,7 +150,13 @@
     def find_holder(
         self, address: str, owners: Mapping[str, Owner], now: float
     ) -> LeaseHolder | None:
-        """Returns the VM that may deliver orders to an engine now, if any."""
+        """Returns the VM that may deliver orders to an engine now, if any.
+
+        Args:
+            address: the address of the engine.
+            owners: the lease holders that the log records, by pool name.
+            now: the leader's clock, in seconds.
+        """
         owner = owners.get(ORDER_POOL_PREFIX + address)
         if owner is None or not self.is_reachable(owner.node, now):
             return None
@@ -182,8 +188,9 @@
     def reassignable_from(self, name: str) -> float:
         """Returns when the leases of a silent VM may go to another VM.
 
-        The VM may have sent its last stamp to an earlier leader, which does not
-        yet know that it no longer leads and may still send orders.
+        An earlier leader that does not yet know that it no longer leads may
+        have sent orders through the VM after the VM's last stamp to this
+        leader.
         """
         received = self._stamps.get(name)
         silent_from = self._predecessor_until
--- a/src/ridgesill/core/fleet/placement.py
+++ b/src/ridgesill/core/fleet/placement.py
@@ -15,12 +15,12 @@
 # has ended. With a shorter one, the many adapters of medium demand are
 # forgotten.
 HALF_LIFE_SECONDS = 60.0
-# Costs of an engine, in requests, added to the value of the adapter that is
-# unloaded there: for a full batch, and for each second of its backlog. A
+# Costs that are added to the value of the unloaded adapter when engines are
+# compared, in requests: for a full batch, and for each second of backlog. A
 # request that waits for a second of backlog is late.
 _BUSY_COST = 2.0
 _BACKLOG_COST = 4.0
-# Cost of a late request, in requests as above.
+# Cost of each waiting request that would be late on the engine, in requests.
 _LATENESS_COST = 8.0
 # Cost of each load already in progress on the engine, in requests.
 _LOADING_COST = 0.3
@@ -243,9 +243,11 @@
 
     def _has_spare_slots(self, engine: Engine) -> bool:
         """Returns whether more slots are free than are held in reserve."""
-        using = self._demand.in_use(engine.name)
-        in_use = sum(artifact in using for artifact in engine.held)
-        used_slots = in_use + len(engine.loading)
+        used_artifacts = self._demand.in_use(engine.name)
+        in_use_count = sum(
+            artifact in used_artifacts for artifact in engine.held
+        )
+        used_slots = in_use_count + len(engine.loading)
         slots = engine.spec.adapter_slots
         return slots - used_slots > _SPARE_SHARE * slots
 
@@ -257,12 +259,12 @@
 
     def _find_victim(self, engine: Engine) -> str | None:
         """Returns the adapter of least value that no request uses, if any."""
-        using = self._demand.in_use(engine.name)
+        used_artifacts = self._demand.in_use(engine.name)
         idle = [
             artifact
             for artifact, held in engine.held.items()
             if is_adapter(artifact)
-            and artifact not in using
+            and artifact not in used_artifacts
             and artifact not in engine.loading
             and self._demand.is_use_reported(
                 max(held.assigned_at, held.loaded_at)
@@ -272,7 +274,7 @@
 
     def describe(self) -> dict[str, int]:
         """Returns counts that explain why an adapter cannot be loaded."""
-        using = [
+        used_artifacts = [
             self._demand.in_use(e.name) & e.held.keys() for e in self.engines
         ]
         return {
@@ -285,7 +287,7 @@
             ),
             "unknown_revision": sum(e.revision is None for e in self.engines),
             "held": sum(len(e.held) for e in self.engines),
-            "in_use": sum(map(len, using)),
+            "in_use": sum(map(len, used_artifacts)),
             "loading": sum(len(e.loading) for e in self.engines),
             "leaving": sum(len(e.unloading) for e in self.engines),
             "unanswered": sum(len(e.unanswered) for e in self.engines),
--- a/src/ridgesill/core/fleet/wants.py
+++ b/src/ridgesill/core/fleet/wants.py
@@ -20,7 +20,8 @@
     """One request that waits for an artifact.
 
     Attributes:
-        goal_at: the time after which its first event is late, in seconds.
+        goal_at: the time after which its first event is late, in seconds on
+            the owner's clock.
         read_seconds: the time that an engine takes to read its prompt, in
             seconds.
         request: the id of the request.
--- a/testing/core/fleet/test_assignment.py
+++ b/testing/core/fleet/test_assignment.py
@@ -86,5 +86,5 @@
             make_engine("failed"),
             make_engine("older", version=1),
         ]
-        wanted = WantArtifact("s", "base/a1", 2, avoid=("failed",))
-        assert choose_holder(wanted, engines, Backlogs(), 0.0) is None
+        newer_want = WantArtifact("s", "base/a1", 2, avoid=("failed",))
+        assert choose_holder(newer_want, engines, Backlogs(), 0.0) is None
--- a/testing/core/fleet/test_wants.py
+++ b/testing/core/fleet/test_wants.py
@@ -12,11 +12,11 @@
     return ArtifactWaiters(want, asked_at, [Waiter(goal) for goal in goals])
 
 
-def rank_adapters(*wants: ArtifactWaiters, now: float) -> list[str]:
+def rank_adapters(*waiters: ArtifactWaiters, now: float) -> list[str]:
     """Returns the adapters in the order in which they are loaded."""
     queue = WantQueue()
-    for want in wants:
-        queue.add(want)
+    for entry in waiters:
+        queue.add(entry)
     return [w.want.artifact.partition("/")[2] for w in queue.ranked(now)]
 
 
@@ -40,10 +40,10 @@
 
     def test_discarded_requests_are_removed(self) -> None:
         queue = WantQueue()
-        want = make_waiters("a1", 0.0, 0.6)
-        queue.add(want)
-        queue.discard(want)
-        assert want not in queue
+        waiters = make_waiters("a1", 0.0, 0.6)
+        queue.add(waiters)
+        queue.discard(waiters)
+        assert waiters not in queue
         assert not len(queue)
 
     def test_requests_with_short_answers_go_first(self) -> None:
