--- a/src/ridgesill/app/control.py
+++ b/src/ridgesill/app/control.py
@@ -1,4 +1,4 @@
-"""A node's part in the control plane: following, leading, proposing."""
+"""A node's part in the control plane: follows, leads and proposes."""
 
 import asyncio
 from collections.abc import Callable
@@ -34,46 +34,51 @@
 from ridgesill.core.voter_choice import VoterChoice
 from ridgesill.ports.peers import PeerError, Peers
 
-_APPLY_WAIT = 0.5
-# Above what an answer takes. Two questions lost in a row must not cost the
-# lease: with a fixed 2 s they did (control schedule 92, issue 4).
-_FOLLOW_MARGIN = 0.5
-_PROPOSE_TIMEOUT = 2.0
-_RETRY = 0.1
-_LEAD_TICK = 0.25
-# A pause of this loop from which this VM was suspended, or as good as that.
+# How long a voter waits for its own replica to apply the index that a reply
+# names, in seconds.
+_APPLY_WAIT_SECONDS = 0.5
+# How long a reply to a `Follow` message may take beyond its wait, in seconds.
+# Two messages lost in a row must not cost the lease, as they would with a fixed
+# timeout of 2 s.
+_FOLLOW_MARGIN_SECONDS = 0.5
+_PROPOSE_ATTEMPT_SECONDS = 2.0
+_RETRY_SECONDS = 0.1
+_LEAD_TICK_SECONDS = 0.25
+# A sleep that lasts longer than planned by this much, in seconds, means that
+# this VM was suspended or could not run.
 _SUSPENDED_SECONDS = 1.0
-_ENTRIES_MOST = 256
-# Least time from a follower's question to its answer, in seconds: what is
-# committed meanwhile is told at once. While 200 nodes joined, each of them was
-# answered for each other one, 40,000 times.
-_FOLLOW_SPACING = 0.1
-# How often a voter tells the leader which nodes it hears, in seconds for each
-# node, and at the most as a share of the patience after which they count as
-# gone: 195 names, three times a second, were 50 KB a second to other data
-# centres.
-_BEATS_SECONDS_A_NODE = 0.005
-_BEATS_SHARE = 0.25
+# Log entries in one reply to a follower, at the most.
+_MAX_ENTRIES = 256
+# Shortest time from a `Follow` message to its reply, in seconds. Entries that
+# are committed meanwhile go into the same reply. Without it, 200 nodes that
+# join cause 40,000 replies: one for each node and each node that joins.
+_MIN_FOLLOW_SECONDS = 0.1
+# Interval at which a voter relays the beats that it receives to the leader, in
+# seconds per node, and its limit as a share of the silence after which nodes
+# count as gone. Three times a second, the names of 195 nodes would take 50 KB a
+# second of the traffic to other data centres.
+_BEATS_INTERVAL_SECONDS_PER_NODE = 0.005
+_MAX_BEATS_INTERVAL_SHARE = 0.25
 # How long a leader tries to confirm that it still leads, and how often it
-# looks, in seconds; a heartbeat round takes 0.3 s.
-_LATEST_WAIT = 0.8
-_LATEST_POLL = 0.02
+# checks, in seconds; a heartbeat round takes 0.3 s.
+_CONFIRM_LATEST_SECONDS = 0.8
+_CONFIRM_LATEST_POLL_SECONDS = 0.02
 
 
 class UnavailableError(Exception):
-    """No leader could be reached; says what was being done."""
+    """Raised if no leader answered; the message names the failed step."""
 
 
 @attrs.frozen
 class ControlSettings:
-    """What the control plane needs from a node's settings.
+    """Settings of the control plane on one node.
 
     Attributes:
         seeds: addresses of the voters by node name.
-        lease: seconds that knowledge of the log is relied on.
-        patience: seconds of silence after which a node counts as gone.
-        follow_wait: seconds after which a voter answers with nothing new.
-        voters_most: how many voters there should be; 0 for no limit.
+        lease: seconds for which a node may rely on its copy of the state.
+        silence_timeout: seconds of silence after which a node counts as gone.
+        follow_wait: seconds after which a voter replies without new entries.
+        max_voters: how many voters there should be; 0 for no limit.
         names_are_addresses: whether nodes are named by their addresses.
     """
 
@@ -86,11 +91,14 @@
 
 
 class Control:
-    """Keeps this node's state in line with the log.
+    """Keeps this node's copy of the replicated state up to date.
+
+    A node with a disk has a log driver and may vote and lead. Any other node
+    follows a voter.
 
     Args:
         node: this node.
-        settings: seeds and leases.
+        settings: seeds and time limits.
         peers: sends messages to other nodes.
         pools: returns the pools whose runners announce themselves here.
     """
@@ -119,18 +127,18 @@
         )
         self._relay = Relay()
         self._leading_term = 0
-        self._watchers: list[Callable[[], None]] = []
+        self._listeners: list[Callable[[], None]] = []
         self._voter_choice = VoterChoice(node.name, node.data_centre)
-        self._beats_told_at = float("-inf")
+        self._beats_relayed_at = float("-inf")
 
     @property
     def state(self) -> State:
-        """The state as far as this node has applied the log."""
+        """The state up to the last log entry that this node has applied."""
         return self.driver.state if self.driver else self._followed
 
     @property
     def peers(self) -> Peers:
-        """The way to other nodes."""
+        """Sends messages to other nodes."""
         return self._peers
 
     @property
@@ -139,7 +147,7 @@
         return self.driver is not None and self.driver.is_leader
 
     def is_fresh(self) -> bool:
-        """Whether this node may rely on its state now."""
+        """Whether this node's state is recent enough to rely on."""
         now = self._loop.time()
         if self.is_leader and self.driver:
             replica = self.driver.replica
@@ -149,46 +157,52 @@
         return self.freshness.is_valid(now)
 
     def live_beats(self) -> list[Beat]:
-        """Returns the nodes that the leader counts as alive."""
+        """Returns the beats of the nodes that count as alive here."""
         return self._membership.beats(self._loop.time())
 
     def leader_name(self) -> str:
-        """Returns the node that leads, as far as is known; or empty."""
+        """Returns the name of the leader; empty if it is unknown."""
         if self.is_leader:
             return self.node.name
         return self._known_leader()
 
     def leader_address(self) -> str:
-        """Returns where the leader is reached; empty if it is not known."""
+        """Returns the address of the leader; empty if it is unknown."""
         name = self.leader_name()
         return self.address_of(name) if name else ""
 
     async def wait_for_version(self, version: int, timeout: float) -> None:
-        """Waits until a configuration version, or a later one, is applied."""
+        """Waits until a configuration version or a later one is applied.
+
+        Returns after `timeout` seconds at the latest.
+        """
         deadline = self._loop.time() + timeout
         while self.state.version < version:
-            left = deadline - self._loop.time()
-            if left <= 0 or not await self._applied.within(left):
+            remaining = deadline - self._loop.time()
+            if remaining <= 0 or not await self._applied.within(remaining):
                 return
 
-    def add_listener(self, watcher: Callable[[], None]) -> None:
-        """Has a function called whenever the state has changed."""
-        self._watchers.append(watcher)
+    def add_listener(self, listener: Callable[[], None]) -> None:
+        """Registers a function to call whenever the state has changed."""
+        self._listeners.append(listener)
 
     def notify_applied(self) -> None:
-        """Wakes everyone who waits for the state to change."""
+        """Wakes waiting tasks and calls listeners after a state change."""
         self._applied.note()
-        for watcher in self._watchers:
-            watcher()
+        for listener in self._listeners:
+            listener()
 
     def send_to_replica(self, identity: str, message: ReplicaMessage) -> None:
-        """Sends a replica's message towards a voting identity."""
+        """Sends a replica's message to the node of a voting identity.
+
+        Drops the message if the address of that node is unknown.
+        """
         address = self.address_of(voter_name(identity))
         if address:
             self._peers.send(address, message)
 
     def address_of(self, name: str) -> str:
-        """Returns a node's address; empty if it is not known."""
+        """Returns a node's address; empty if it is unknown."""
         node = self.state.nodes.get(name)
         if node is not None:
             return node.address
@@ -197,32 +211,36 @@
         return self.settings.seeds.get(name, "")
 
     def is_far(self, name: str) -> bool:
-        """Whether a node is known to be in another data centre."""
+        """Whether a node is known to be in another data centre.
+
+        Args:
+            name: a node's name, or its name and incarnation joined by `#`.
+        """
         node = self.state.nodes.get(name.partition("#")[0])
         return node is not None and node.data_centre != self.node.data_centre
 
     # -- following -----------------------------------------------------
 
     async def follow(self) -> None:
-        """Follows the log until cancelled."""
+        """Follows the log while this node does not lead, until cancelled."""
         failures = 0
         while True:
             if self.is_leader:
-                await asyncio.sleep(_RETRY)
+                await asyncio.sleep(_RETRY_SECONDS)
                 continue
-            name = self._upstream(failures)
+            name = self._choose_voter(failures)
             address = self.address_of(name) if name else ""
             if address and await self._follow_once(address):
                 self._voter_choice.note_followed()
-                # A voter goes back to the leader at once.
+                # With no failures, a voter follows the leader next.
                 failures = 0
             else:
                 self._voter_choice.note_failed(name, self._loop.time())
                 failures += 1
-                await asyncio.sleep(_RETRY)
+                await asyncio.sleep(_RETRY_SECONDS)
 
-    def _upstream(self, failures: int) -> str:
-        """Returns the voter to follow; another one after each failure."""
+    def _choose_voter(self, failures: int) -> str:
+        """Returns the voter to follow; a different one after each failure."""
         known_leader = self._known_leader()
         voters = self._voter_names()
         others = [name for name in voters if name != self.node.name]
@@ -232,14 +250,15 @@
             ranked = rank(self.node.name, others)
             return ranked[failures % len(ranked)] if ranked else ""
         if len(others) > 1:
-            # The leader has the voters to serve; nodes leave it alone.
+            # The leader has to serve the other voters, so nodes without a disk
+            # follow one of those instead.
             others = [name for name in others if name != known_leader]
         now = self._loop.time()
         return self._voter_choice.choose(others, self.state.nodes, now)
 
     def _voter_names(self) -> list[str]:
-        joined = [n.name for n in self.state.nodes.values() if n.voter]
-        return sorted(set(joined) | set(self.settings.seeds))
+        state_voters = [n.name for n in self.state.nodes.values() if n.voter]
+        return sorted(set(state_voters) | set(self.settings.seeds))
 
     def _known_leader(self) -> str:
         if self.driver and self.driver.replica.leader:
@@ -248,30 +267,36 @@
 
     async def _follow_once(self, address: str) -> bool:
         now = self._loop.time()
-        new, alive = self._relay.split(self._beats_to_tell(now), address)
-        request = Follow(self._beat(), self.settings.follow_wait, new, alive)
+        new, alive = self._relay.split(self._beats_to_relay(now), address)
+        request = Follow(
+            self._make_beat(), self.settings.follow_wait, new, alive
+        )
         try:
             reply = await self._peers.call(
-                address, request, self.settings.follow_wait + _FOLLOW_MARGIN
+                address,
+                request,
+                self.settings.follow_wait + _FOLLOW_MARGIN_SECONDS,
             )
         except PeerError:
             return False
         self._relay.confirm(new, reply.unknown)
         self.leader = reply.leader
-        await self._take(reply, asked_at=now)
-        # A voter that is itself out of touch is no help; ask another.
+        await self._apply_reply(reply, requested_at=now)
+        # A voter whose own state is stale does not count as followed.
         return bool(reply.age < self.settings.lease)
 
-    def _beats_to_tell(self, now: float) -> tuple[HeardBeat, ...]:
-        """Returns the beats heard here, when it is time to pass them on."""
-        by_nodes = _BEATS_SECONDS_A_NODE * len(self.state.nodes)
-        pause = min(by_nodes, _BEATS_SHARE * self.settings.silence_timeout)
-        if self.driver is None or now < self._beats_told_at + pause:
+    def _beats_to_relay(self, now: float) -> tuple[HeardBeat, ...]:
+        """Returns the beats to relay to the leader; empty if none are due."""
+        interval = _BEATS_INTERVAL_SECONDS_PER_NODE * len(self.state.nodes)
+        pause = min(
+            interval, _MAX_BEATS_INTERVAL_SHARE * self.settings.silence_timeout
+        )
+        if self.driver is None or now < self._beats_relayed_at + pause:
             return ()
-        self._beats_told_at = now
+        self._beats_relayed_at = now
         return self._membership.heard(now)
 
-    def _beat(self) -> Beat:
+    def _make_beat(self) -> Beat:
         return Beat(
             self.node,
             self.state.index,
@@ -287,67 +312,70 @@
         replica = self.driver.replica
         return replica.identity not in replica.voters.voters
 
-    async def _take(self, reply: FollowReply, asked_at: float) -> None:
+    async def _apply_reply(
+        self, reply: FollowReply, requested_at: float
+    ) -> None:
         if self.driver is None:
             self._apply_followed(reply)
         else:
             await self._wait_applied(reply.upto)
         if self.state.index >= reply.upto:
-            self.freshness.confirm(asked_at, reply.age)
+            self.freshness.confirm(requested_at, reply.age)
 
     def _apply_followed(self, reply: FollowReply) -> None:
-        before = self._followed.index
+        previous_index = self._followed.index
         if reply.snapshot:
-            image = State.load(reply.snapshot)
-            # Never back: an answer that was long on its way is passed over.
-            if image.index > before:
-                self._followed = image
+            snapshot = State.load(reply.snapshot)
+            # A reply that was delayed must not take the state back.
+            if snapshot.index > previous_index:
+                self._followed = snapshot
         for entry in reply.entries:
             self._followed.apply(entry)
         self._followed.advance(reply.upto)
-        if self._followed.index > before:
+        if self._followed.index > previous_index:
             self.notify_applied()
 
     async def _wait_applied(self, index: int) -> None:
-        deadline = self._loop.time() + _APPLY_WAIT
+        deadline = self._loop.time() + _APPLY_WAIT_SECONDS
         while self.state.index < index:
-            left = deadline - self._loop.time()
-            if left <= 0 or not await self._applied.within(left):
+            remaining = deadline - self._loop.time()
+            if remaining <= 0 or not await self._applied.within(remaining):
                 return
 
-    # -- being followed ------------------------------------------------
+    # -- serving followers ---------------------------------------------
 
     async def handle_follow(self, request: Follow) -> FollowReply:
-        """Answers a node that follows the log here."""
+        """Replies to a follower, once there are new entries or in due time."""
         now = self._loop.time()
         self._membership.hear(request.beat, now)
         self._membership.hear_relayed(request.heard, now)
         unknown = self._membership.hear_alive(request.alive, now)
         deadline = now + request.wait
         while self.state.index <= request.beat.applied:
-            left = deadline - self._loop.time()
-            if left <= 0 or not await self._applied.within(left):
+            remaining = deadline - self._loop.time()
+            if remaining <= 0 or not await self._applied.within(remaining):
                 break
-        # One that knows nothing yet has clients waiting.
+        # A follower without any state yet is answered at once, because its
+        # clients are waiting.
         if request.beat.applied and not request.beat.node.voter:
-            spacing = now + _FOLLOW_SPACING - self._loop.time()
+            spacing = now + _MIN_FOLLOW_SECONDS - self._loop.time()
             await asyncio.sleep(max(spacing, 0.0))
-        return attrs.evolve(self._reply(request.beat), unknown=unknown)
+        return attrs.evolve(self._make_reply(request.beat), unknown=unknown)
 
-    def _reply(self, beat: Beat) -> FollowReply:
+    def _make_reply(self, beat: Beat) -> FollowReply:
         self.is_fresh()
         age = self.freshness.age(self._loop.time())
         if self.driver is None:
             return FollowReply(-NEVER, beat.applied, (), b"", self.leader)
         leader = voter_name(self.driver.replica.leader) or self.leader
         if beat.node.voter:
-            # A voter gets its entries from the leader; it needs the index.
+            # A voter receives entries from the leader and only needs the index.
             return FollowReply(age, self.state.index, (), b"", leader)
         log = self.driver.replica.log
         if beat.applied < log.snapshot.index:
-            image = self.state.dump(with_once=False)
-            return FollowReply(age, self.state.index, (), image, leader)
-        upto = min(self.state.index, beat.applied + _ENTRIES_MOST)
+            snapshot = self.state.dump(with_once=False)
+            return FollowReply(age, self.state.index, (), snapshot, leader)
+        upto = min(self.state.index, beat.applied + _MAX_ENTRIES)
         if upto < self.state.index:
             age = -NEVER
         entries = tuple(
@@ -360,15 +388,16 @@
     # -- leading -------------------------------------------------------
 
     async def lead(self) -> None:
-        """Proposes what the live nodes call for, while this node leads."""
+        """Proposes changes that the live nodes require, while leading."""
         while True:
-            slept_from = self._loop.time()
-            await asyncio.sleep(_LEAD_TICK)
+            slept_at = self._loop.time()
+            await asyncio.sleep(_LEAD_TICK_SECONDS)
             now = self._loop.time()
-            if now - slept_from > _LEAD_TICK + _SUSPENDED_SECONDS:
-                # Nobody could be heard meanwhile; without this a leader would
-                # remove all nodes before it reads what they have sent.
-                log_message("log:suspended", seconds=round(now - slept_from, 3))
+            if now - slept_at > _LEAD_TICK_SECONDS + _SUSPENDED_SECONDS:
+                # No message could be received meanwhile. Without this restart,
+                # a leader would remove all nodes before it reads the beats that
+                # they have sent.
+                log_message("log:suspended", seconds=round(now - slept_at, 3))
                 self._membership.begin_anew(now)
             if self.is_leader and self.driver:
                 self.is_fresh()
@@ -381,76 +410,86 @@
             self._membership = Membership(self.settings.silence_timeout, now)
             self.leader = self.node.name
             log_message("log:leading", term=driver.replica.term)
-        self._membership.hear(self._beat(), now)
+        self._membership.hear(self._make_beat(), now)
         change = decide_change(
             driver.replica,
             self._membership.beats(now),
             now,
             self.settings.max_voters,
         )
-        wanted = self._membership.decide(driver.state, now)
+        commands = self._membership.decide(driver.state, now)
         if change is not None:
-            wanted.append(change)
-        for command in wanted:
+            commands.append(change)
+        for command in commands:
             try:
                 await driver.propose(command)
             except (NotLeaderError, LostLeadershipError):
                 return
 
-    # -- reading the newest --------------------------------------------
+    # -- linearizable reads --------------------------------------------
 
     async def confirm_latest(self, timeout: float) -> None:
-        """Waits until everything committed before the call is applied here.
+        """Waits until all entries committed before the call are applied here.
 
         Raises:
-            UnavailableError: that could not be made sure of in time.
+            UnavailableError: no quorum confirmed the newest index, or it wasn't
+                applied, within `timeout` seconds.
         """
         deadline = self._loop.time() + timeout
         index = await self._ask_latest(deadline)
         while index >= 0 and self.state.index < index:
-            left = deadline - self._loop.time()
-            if left <= 0 or not await self._applied.within(left):
+            remaining = deadline - self._loop.time()
+            if remaining <= 0 or not await self._applied.within(remaining):
                 index = -1
         if index < 0:
             raise UnavailableError(
-                f"reading the newest: no quorum confirmed it in {timeout} s"
+                f"confirming the latest state: no quorum answered within "
+                f"{timeout} s; retry, and check that most voters run"
             )
 
     async def _ask_latest(self, deadline: float) -> int:
         while True:
-            left = deadline - self._loop.time()
-            if left <= 0:
+            remaining = deadline - self._loop.time()
+            if remaining <= 0:
                 return -1
             if self.is_leader:
-                return (await self.handle_ask_latest(left)).index
+                return (await self.handle_ask_latest(remaining)).index
             name = self._known_leader()
             address = self.address_of(name) if name else ""
             if address:
                 try:
-                    reply = await self._peers.call(address, AskLatest(), left)
+                    reply = await self._peers.call(
+                        address, AskLatest(), remaining
+                    )
                 except PeerError as error:
                     log_message("log:latest_unknown", detail=str(error))
                 else:
                     if reply.index >= 0:
                         return int(reply.index)
-            await asyncio.sleep(_RETRY)
+            await asyncio.sleep(_RETRY_SECONDS)
 
-    async def handle_ask_latest(self, timeout: float = _LATEST_WAIT) -> Latest:
-        """Answers once a quorum has followed this leader since the question."""
-        asked_at = self._loop.time()
+    async def handle_ask_latest(
+        self, timeout: float = _CONFIRM_LATEST_SECONDS
+    ) -> Latest:
+        """Returns the committed index once a quorum confirms this leader.
+
+        Only a confirmation from after the call counts. The index is -1 if there
+        is none within `timeout` seconds or this node doesn't lead.
+        """
+        requested_at = self._loop.time()
         while self.driver is not None and self.is_leader:
             now = self._loop.time()
-            if self.driver.replica.confirmed_at(now) >= asked_at:
+            if self.driver.replica.confirmed_at(now) >= requested_at:
                 return Latest(self.driver.replica.commit)
-            if now - asked_at > timeout:
+            if now - requested_at > timeout:
                 break
-            await asyncio.sleep(_LATEST_POLL)
+            await asyncio.sleep(_CONFIRM_LATEST_POLL_SECONDS)
         return Latest(-1)
 
     # -- proposing -----------------------------------------------------
 
     async def handle_propose(self, request: Propose) -> ProposeReply:
-        """Appends another node's command, if this node leads."""
+        """Proposes another node's command, if this node leads."""
         if not self.is_leader or self.driver is None:
             return ProposeReply(b"", self._known_leader(), False)
         try:
@@ -462,39 +501,47 @@
         return ProposeReply(codec.encode(answer), self.node.name, True)
 
     async def propose(self, command: Any, timeout: float) -> Any:
-        """Returns the answer of a command, wherever the leader is.
+        """Proposes a command to the leader, here or elsewhere.
 
-        Commands are idempotent, so one whose fate is unknown is proposed
-        again until it is answered.
+        Commands are idempotent, so a command is proposed again until there is
+        an answer, also if an earlier attempt may have been committed.
+
+        Returns:
+            The state's answer to the command.
 
         Raises:
             UnavailableError: there was no answer within `timeout` seconds.
         """
         encoded = codec.encode(command)
         deadline = self._loop.time() + timeout
-        tries = 0
+        attempts = 0
         while self._loop.time() < deadline:
-            answer = await self._propose_once(encoded, tries)
+            answer = await self._propose_once(encoded, attempts)
             if answer:
                 return codec.decode(answer)
-            tries += 1
-            await asyncio.sleep(_RETRY)
+            attempts += 1
+            await asyncio.sleep(_RETRY_SECONDS)
         step = type(command).__name__
-        raise UnavailableError(f"{step}: no leader answered in {timeout} s")
+        raise UnavailableError(
+            f"{step}: no leader answered within {timeout} s; retry, and check "
+            f"that most voters run"
+        )
 
-    async def _propose_once(self, encoded: bytes, tries: int) -> bytes:
+    async def _propose_once(self, encoded: bytes, attempts: int) -> bytes:
         request = Propose(encoded)
         if self.is_leader:
             return (await self.handle_propose(request)).answer
         name = self._known_leader()
-        if not name or tries % 2:
+        if not name or attempts % 2:
             names = [n for n in self._voter_names() if n != self.node.name]
-            name = names[(tries // 2) % len(names)] if names else ""
+            name = names[(attempts // 2) % len(names)] if names else ""
         address = self.address_of(name) if name else ""
         if not address:
             return b""
         try:
-            reply = await self._peers.call(address, request, _PROPOSE_TIMEOUT)
+            reply = await self._peers.call(
+                address, request, _PROPOSE_ATTEMPT_SECONDS
+            )
         except PeerError:
             return b""
         self.leader = reply.leader or self.leader
--- a/src/ridgesill/app/control_api.py
+++ b/src/ridgesill/app/control_api.py
@@ -1,4 +1,4 @@
-"""Carries out the calls that upstreams and the operator make."""
+"""Handles the control calls of upstreams and operators."""
 
 import zlib
 from collections.abc import Callable
@@ -34,22 +34,23 @@
 )
 from ridgesill.ports.http import HttpRequest, Responder
 
-# Within which a change is committed or the caller is told to go elsewhere;
-# callers go on after a second.
+# How long a change may take to be committed before the caller is refused, in
+# seconds. Callers turn to another node after a second.
 _PROPOSE_SECONDS = 0.9
-_READ_SECONDS = 0.9
-_UNAVAILABLE = 503
+_CONFIRM_LATEST_SECONDS = 0.9
+_SERVICE_UNAVAILABLE = 503
 _BAD_REQUEST = 400
 
 
 class ControlApi:
-    """Serves the control address.
+    """Serves HTTP calls on the control address.
 
     Args:
-        control: the control plane.
-        owner: the fleet's owner on this node.
-        calls: how calls are worded.
-        owner_address: returns where upstreams should send heartbeats.
+        control: this node's part in the control plane.
+        owner: this node's fleet owner.
+        calls: decodes calls and encodes replies.
+        owner_address: returns the address to which upstreams should send
+            heartbeats.
     """
 
     def __init__(
@@ -65,8 +66,8 @@
         self._owner_address = owner_address
 
     async def serve(self, request: HttpRequest, responder: Responder) -> None:
-        """Answers one call."""
-        reply = await self._carry_out(self._calls.read(request))
+        """Handles one call and sends the reply."""
+        reply = await self._handle_call(self._calls.read(request))
         status, body = self._calls.write(reply)
         headers = (
             (b"content-type", b"application/json"),
@@ -77,37 +78,37 @@
         responder.finish()
 
     @singledispatchmethod
-    async def _carry_out(self, call: Any) -> CallReply:
-        raise TypeError(f"no control call: {type(call).__name__}")
+    async def _handle_call(self, call: Any) -> CallReply:
+        raise TypeError(f"no handler for control call {type(call).__name__}")
 
-    @_carry_out.register
+    @_handle_call.register
     async def _(self, call: BadCall) -> CallReply:
         log_message("control:bad_call", status=call.status, detail=call.detail)
         return CallReply(call.status, call.detail)
 
-    @_carry_out.register
+    @_handle_call.register
     async def _(self, call: HeartbeatCall) -> CallReply:
         service = call.heartbeat.service
         if self._owner.is_unknown_service(service):
             detail = f"service: no configuration names {service!r}"
-            return await self._carry_out(BadCall(_BAD_REQUEST, detail))
+            return await self._handle_call(BadCall(_BAD_REQUEST, detail))
         try:
             await self._owner.submit_heartbeat(call.heartbeat)
         except NotOwnerError as error:
-            return _unavailable("heartbeat", str(error))
+            return _reply_unavailable("heartbeat", str(error))
         return CallReply(200, next_address=self._owner_address())
 
-    @_carry_out.register
+    @_handle_call.register
     async def _(self, call: LeaveCall) -> CallReply:
         try:
             await self._owner.submit_leave(
                 HeardLeave(call.instance, call.start)
             )
         except NotOwnerError as error:
-            return _unavailable("leave", str(error))
+            return _reply_unavailable("leave", str(error))
         return CallReply(200)
 
-    @_carry_out.register
+    @_handle_call.register
     async def _(self, call: PutRoutesCall) -> CallReply:
         held = self._control.state.routes_version
         if call.version > held:
@@ -116,7 +117,7 @@
             try:
                 await self._control.propose(command, _PROPOSE_SECONDS)
             except UnavailableError as error:
-                return _unavailable("configuration", str(error))
+                return _reply_unavailable("configuration", str(error))
         log_message(
             "control:configuration",
             version=call.version,
@@ -125,67 +126,74 @@
         )
         return CallReply(200)
 
-    @_carry_out.register
+    @_handle_call.register
     async def _(self, call: PutVersionCall) -> CallReply:
         command = PutArtifactVersion(call.artifact, call.version)
         try:
             await self._control.propose(command, _PROPOSE_SECONDS)
         except UnavailableError as error:
-            return _unavailable("version", str(error))
+            return _reply_unavailable("version", str(error))
         log_message(
             "control:version", artifact=call.artifact, version=call.version
         )
         return CallReply(200)
 
-    @_carry_out.register
+    @_handle_call.register
     async def _(self, call: ReadRoutesCall) -> CallReply:
         try:
-            await self._control.confirm_latest(_READ_SECONDS)
+            await self._control.confirm_latest(_CONFIRM_LATEST_SECONDS)
         except UnavailableError as error:
-            return _unavailable("read", str(error))
+            return _reply_unavailable("read", str(error))
         document = self._control.state.routes_document
         if not document:
-            return CallReply(404, "no configuration has been put yet")
+            return CallReply(
+                404,
+                "reading the configuration: there is none yet; put one first",
+            )
         return CallReply(200, document=zlib.decompress(document))
 
-    @_carry_out.register
+    @_handle_call.register
     async def _(self, call: ListQuarantineCall) -> CallReply:
         try:
-            await self._control.confirm_latest(_READ_SECONDS)
+            await self._control.confirm_latest(_CONFIRM_LATEST_SECONDS)
         except UnavailableError as error:
-            return _unavailable("quarantine", str(error))
-        said = [
+            return _reply_unavailable("quarantine", str(error))
+        listing = [
             {"request": suspect.fingerprint.content, "ended": suspect.ends}
             for suspect in self._control.state.suspects.quarantined()
         ]
-        return CallReply(200, document=msgspec.json.encode(said))
+        return CallReply(200, document=msgspec.json.encode(listing))
 
-    @_carry_out.register
+    @_handle_call.register
     async def _(self, call: ListQuotasCall) -> CallReply:
         try:
             uses = self._owner.list_quotas()
         except NotOwnerError as error:
-            return _unavailable("quotas", str(error))
-        said = [{"customer": u.name, **_without_name(u)} for u in uses]
-        return CallReply(200, document=msgspec.json.encode(said))
+            return _reply_unavailable("quotas", str(error))
+        listing = [{"customer": u.name, **_without_name(u)} for u in uses]
+        return CallReply(200, document=msgspec.json.encode(listing))
 
-    @_carry_out.register
+    @_handle_call.register
     async def _(self, call: ListLimitsCall) -> CallReply:
         try:
             limits = self._owner.list_limits()
         except NotOwnerError as error:
-            return _unavailable("limits", str(error))
+            return _reply_unavailable("limits", str(error))
         return CallReply(200, document=msgspec.json.encode(limits))
 
-    @_carry_out.register
+    @_handle_call.register
     async def _(self, call: LiftQuarantineCall) -> CallReply:
         if not self._control.state.suspects.has(call.request):
-            return CallReply(404, "nothing is held against such a request")
+            return CallReply(
+                404,
+                "lifting the quarantine: no such fingerprint is recorded; list "
+                "the quarantine for those that are",
+            )
         command = LiftQuarantine(call.request)
         try:
             await self._control.propose(command, _PROPOSE_SECONDS)
         except UnavailableError as error:
-            return _unavailable("quarantine", str(error))
+            return _reply_unavailable("quarantine", str(error))
         log_message("control:quarantine_lifted", fingerprint=call.request)
         return CallReply(200)
 
@@ -194,6 +202,6 @@
     return {k: v for k, v in attrs.asdict(use).items() if k != "name"}
 
 
-def _unavailable(step: str, detail: str) -> CallReply:
+def _reply_unavailable(step: str, detail: str) -> CallReply:
     log_message("control:unavailable", step=step, detail=detail)
-    return CallReply(_UNAVAILABLE, detail)
+    return CallReply(_SERVICE_UNAVAILABLE, detail)
--- a/src/ridgesill/app/control_process.py
+++ b/src/ridgesill/app/control_process.py
@@ -1,4 +1,4 @@
-"""The process on a VM with a disk: votes, takes calls, owns the fleet."""
+"""The control process on a VM with a disk: votes and may own the fleet."""
 
 import asyncio
 import signal
@@ -45,25 +45,26 @@
 from ridgesill.platform.upstreams import PlatformEngines
 from ridgesill.ports.peers import PeerError
 
-# Shorter than the product's own, since the data centres are a millisecond
-# apart. A leader that was only killed is back within 1.1 s and, as the last
-# owner, need not wait for anybody's lease; another one would wait for 3.7 s,
-# however soon it is elected.
+# Shorter than the default timing of the log, because the data centres are a
+# millisecond apart. The shortest election timeout exceeds 1.1 s, within which a
+# leader that was only killed has restarted. As the last owner, that node need
+# not wait for a lease; any other leader has to wait for 3.7 s, however soon it
+# is elected.
 _TIMING = Timing(heartbeat=0.15, election_min=1.2, election_max=1.9)
 # When a node that has just started stands for election, in seconds: the last
-# owner of the fleet first, the other voters one after the other. With delays
-# by lot, three voters that had to agree took two elections.
+# owner of the fleet first, and each further voter this much later. With random
+# delays, three voters that all had to vote needed two elections.
 _FIRST_ELECTION_SECONDS = 0.15
-_ELECTION_STEP_SECONDS = 0.2
-# Calls in progress get this long to end after SIGTERM, in seconds.
+_ELECTION_STAGGER_SECONDS = 0.2
+# How long calls in progress may take to end after SIGTERM, in seconds.
 _STOP_SECONDS = 0.3
 
 
 class ControlProcess:
-    """All of a control node.
+    """All components of a control node.
 
     Args:
-        settings: what the platform says.
+        settings: the node's settings.
     """
 
     def __init__(self, settings: PlatformSettings) -> None:
@@ -105,7 +106,7 @@
                 settings.bounds.quota_slack,
             ),
         )
-        self.control.add_listener(self._note_state)
+        self.control.add_listener(self._apply_state)
         api = ControlApi(
             self.control,
             self.owner,
@@ -119,7 +120,10 @@
         self._peers.traffic.is_far = self.control.is_far
 
     def _heartbeat_address(self) -> str:
-        """Returns the owner's control address; its port is the same here."""
+        """Returns the owner's control address; empty if it is unknown.
+
+        All control nodes use the same port.
+        """
         owner = self.control.leader_address()
         if not owner:
             return ""
@@ -127,10 +131,10 @@
         return with_port(owner, port)
 
     def _report_usage(self) -> UsageReport:
-        """Returns what the fronts use that ask here for news."""
+        """Returns the use that fronts asking this node for news report."""
         return self.owner.relay.report()
 
-    def _note_state(self) -> None:
+    def _apply_state(self) -> None:
         table = read_newer_table(self.control.state, self.owner.table)
         if table is not None:
             self.owner.apply_table(table)
@@ -142,70 +146,76 @@
             if isinstance(message, Follow):
                 self._formation.record_node(message.beat.node)
             step = type(message).__name__
-            raise PeerError(step, self._node.name, "no log is formed here yet")
-        return await self._take(message, sender)
+            raise PeerError(
+                step,
+                self._node.name,
+                "this node has not joined a log yet; retry",
+            )
+        return await self._handle_message(message, sender)
 
     @singledispatchmethod
-    async def _take(self, message: Any, sender: str) -> Any:
+    async def _handle_message(self, message: Any, sender: str) -> Any:
         step = type(message).__name__
-        raise PeerError(step, sender, "a control node takes no such message")
+        raise PeerError(
+            step, sender, "a control node doesn't handle such messages"
+        )
 
-    @_take.register
+    @_handle_message.register
     async def _(self, message: ReplicaMessage, sender: str) -> None:
         if self.control.driver is not None:
             self.control.driver.receive(message)
 
-    @_take.register
+    @_handle_message.register
     async def _(self, message: Follow, sender: str) -> Any:
         return await self.control.handle_follow(message)
 
-    @_take.register
+    @_handle_message.register
     async def _(self, message: Propose, sender: str) -> Any:
         return await self.control.handle_propose(message)
 
-    @_take.register
+    @_handle_message.register
     async def _(self, message: AskLatest, sender: str) -> Any:
         return await self.control.handle_ask_latest()
 
-    @_take.register
+    @_handle_message.register
     async def _(self, message: WatchFleet, sender: str) -> Any:
         return await self.owner.handle_watch(sender, message)
 
-    @_take.register
+    @_handle_message.register
     async def _(self, message: WantArtifact, sender: str) -> Any:
         return await self.owner.handle_want(message)
 
-    @_take.register
+    @_handle_message.register
     async def _(self, message: ReadingEnded, sender: str) -> None:
         await self.owner.handle_reading_ended(sender, message)
 
-    @_take.register
+    @_handle_message.register
     async def _(self, message: HeardHeartbeat, sender: str) -> Any:
         return await self.owner.handle_forwarded(message)
 
-    @_take.register
+    @_handle_message.register
     async def _(self, message: HeardLeave, sender: str) -> Any:
         return await self.owner.handle_forwarded(message)
 
-    @_take.register
+    @_handle_message.register
     async def _(self, message: HolderAlive, sender: str) -> None:
         self.owner.handle_holder_alive(message)
 
-    @_take.register
+    @_handle_message.register
     async def _(self, message: DeliverOrder, sender: str) -> Any:
         return await self.owner.holder.handle(message)
 
     # -- running -------------------------------------------------------
 
     async def run(self) -> None:
-        """Runs until SIGTERM."""
+        """Runs until SIGTERM or SIGINT."""
         self._loop.add_signal_handler(signal.SIGTERM, self._stopping.set)
         self._loop.add_signal_handler(signal.SIGINT, self._stopping.set)
         self._loop.add_signal_handler(signal.SIGHUP, self._reload)
         await self._peer_server.start(self._settings.peers_listen)
         await self._calls.start()
         stopping = self._loop.create_task(self._stopping.wait())
-        working = self._loop.create_task(self._work())
+        running = self._loop.create_task(self._run_tasks())
         log_message(
             "control:started",
             vm=self._settings.vm,
@@ -213,16 +223,16 @@
             peers=self._settings.peers,
         )
         await asyncio.wait(
-            [stopping, working], return_when=asyncio.FIRST_COMPLETED
+            [stopping, running], return_when=asyncio.FIRST_COMPLETED
         )
-        if working.done() and working.exception() is not None:
-            raise working.exception()  # type: ignore[misc]
+        if running.done() and running.exception() is not None:
+            raise running.exception()  # type: ignore[misc]
         await asyncio.sleep(_STOP_SECONDS)
-        working.cancel()
+        running.cancel()
         await self._calls.stop()
         log_message("control:stopped", vm=self._settings.vm)
 
-    async def _work(self) -> None:
+    async def _run_tasks(self) -> None:
         await self._formation.form(self._node)
         driver = LogDriver(
             self._storage,
@@ -230,7 +240,7 @@
             self.control.notify_applied,
             _TIMING,
         )
-        self._hasten_election(driver)
+        self._schedule_first_election(driver)
         self.control.driver = driver
         self.control.notify_applied()
         async with asyncio.TaskGroup() as group:
@@ -262,18 +272,18 @@
             "ridgesill_fleet_owned": lambda: float(self.owner.is_owner()),
         }
 
-    def _hasten_election(self, driver: LogDriver) -> None:
-        """Has nodes that start at once stand for election in turn."""
-        last = find_last_owner(driver)
+    def _schedule_first_election(self, driver: LogDriver) -> None:
+        """Schedules elections so that voters that start together take turns."""
+        last_owner = find_last_owner(driver)
         voters = sorted(
             driver.replica.voters.voters,
-            key=lambda identity: (voter_name(identity) != last, identity),
+            key=lambda identity: (voter_name(identity) != last_owner, identity),
         )
         if self._node.voter not in voters:
             return
-        turn = voters.index(self._node.voter)
-        seconds = _FIRST_ELECTION_SECONDS + turn * _ELECTION_STEP_SECONDS
-        driver.replica.expect_election(self._loop.time(), seconds)
+        position = voters.index(self._node.voter)
+        delay = _FIRST_ELECTION_SECONDS + position * _ELECTION_STAGGER_SECONDS
+        driver.replica.expect_election(self._loop.time(), delay)
 
     def _reload(self) -> None:
         log_message("control:reloaded")
--- a/src/ridgesill/app/fleet_loads.py
+++ b/src/ridgesill/app/fleet_loads.py
@@ -56,9 +56,9 @@
 # skipped, because the others nearly always lack the same thing.
 _MAX_MISSES = 3
 # How long a request keeps waiting for a place after it can no longer meet its
-# goal, in seconds. An artifact that has a place is loaded within this time. A
-# request that waits longer is mostly refused in the end and only costs its
-# caller time.
+# goal, in seconds. Requests that still get a place mostly get it within this
+# time. Those that wait longer are mostly refused in the end, and the wait only
+# costs their callers time.
 _LATE_PATIENCE = 0.2
 # After how long a caller may retry a request that found no place or no engine,
 # in seconds. Running requests occupy places for 1 to 8 s, and engines that end
--- a/src/ridgesill/app/fleet_owner.py
+++ b/src/ridgesill/app/fleet_owner.py
@@ -255,7 +255,7 @@
     async def _take_over(self, term: int) -> None:
         if not self._has_quorum():
             return
-        before = self._control.state.owners.get(FLEET)
+        previous_owner = self._control.state.owners.get(FLEET)
         own_node = self._control.node
         grant = GrantPool(FLEET, own_node.name, own_node.incarnation)
         try:
@@ -270,7 +270,7 @@
         ordered_until = driver.replica.predecessor_until + _QUORUM_SECONDS
         self._leases.begin(term, ordered_until)
         self._term = term
-        is_first = before is None
+        is_first = previous_owner is None
         may_lack_upstreams = not (is_first or self._follower.view.upstreams)
         self._start_owning(
             done.index, now, may_lack_upstreams=may_lack_upstreams
@@ -279,7 +279,7 @@
             "fleet:owned",
             epoch=done.index,
             term=term,
-            before=before.node if before else "",
+            before=previous_owner.node if previous_owner else "",
             ordered_until=round(ordered_until - now, 3),
             upstreams=len(self._follower.view.upstreams),
         )
@@ -430,8 +430,8 @@
         expects at least as many as its predecessor had.
         """
         is_new_owner = now < self._owned_since + _FRONT_DISCOVERY_SECONDS
-        before = self._previous_front_count if is_new_owner else 0
-        return max(self._usage.fronts, before)
+        expected = self._previous_front_count if is_new_owner else 0
+        return max(self._usage.fronts, expected)
 
     def _have_fronts_reported_since(self, at: float) -> bool:
         """Whether every expected front has reported its use since a time.
@@ -524,9 +524,10 @@
 
     def _check_owner(self) -> None:
         if not self.is_owner():
-            owner = self._control.leader_address() or "nobody known"
+            owner = self._control.leader_address() or "not known yet"
             raise NotOwnerError(
-                f"the fleet's owner is {owner}; send the call there"
+                f"this node does not own the fleet; the owner is {owner}; "
+                "send the call to the owner"
             )
 
     def list_quotas(self) -> list[QuotaUse]:
@@ -541,7 +542,7 @@
     def _min_version(self, artifact: str) -> int:
         return self._control.state.artifact_versions.get(artifact, 0)
 
-    # -- wants ---------------------------------------------------------
+    # -- requests for artifacts ----------------------------------------
 
     async def handle_want(self, want: WantArtifact) -> ArtifactReady:
         """Answers once an engine holds the artifact, or with a refusal."""
--- a/src/ridgesill/app/log_driver.py
+++ b/src/ridgesill/app/log_driver.py
@@ -1,4 +1,4 @@
-"""Drives a voter's replica: syncs its output, sends, then applies."""
+"""Drives a voter's replica: stores its output, sends messages, applies."""
 
 import asyncio
 import functools
@@ -17,19 +17,25 @@
 
 RunBlocking = Callable[[Callable[[], None]], Awaitable[None]]
 
-_TICK = 0.1
+_TICK_SECONDS = 0.1
 _COMPACT_ENTRIES = 1000
-# Bytes of applied commands after which a snapshot is made: a routing document
-# can be a hundred times a usual command.
+# Bytes of applied commands after which a snapshot is made, since a routing
+# document can be a hundred times as large as other commands.
 _COMPACT_BYTES = 2 * 2**20
-# How often a write that the disk refuses is tried again, in seconds.
-_RETRY_STORE = 0.2
+# How long to wait before a failed write is retried, in seconds.
+_WRITE_RETRY_SECONDS = 0.2
 
 
 @codec.register
 @attrs.frozen
 class ReplicaMessage:
-    """A message between replicas, under their voting identities."""
+    """A message between two replicas.
+
+    Attributes:
+        sender: voting identity of the sender.
+        to: voting identity of the receiver.
+        body: the encoded message.
+    """
 
     sender: str
     to: str
@@ -49,24 +55,24 @@
 
 
 class NotLeaderError(Exception):
-    """A proposal that was certainly not appended here."""
+    """Raised if a proposal was certainly not appended here."""
 
 
 class LostLeadershipError(Exception):
-    """A proposal that may or may not come to be committed."""
+    """Raised if it is unknown whether a proposal will be committed."""
 
 
 class LogDriver:
-    """Owns a replica, its storage and the state made from its log.
+    """Owns a replica, its storage and the state machine built from its log.
 
     Args:
-        storage: the replica's disk.
-        send: sends a `ReplicaMessage` towards an identity.
+        storage: stores the replica's log and snapshot.
+        send: sends a `ReplicaMessage` to a voting identity.
         on_applied: called after entries were applied.
-        timing: intervals of the log.
+        timing: heartbeat interval and election timeouts.
         compact_entries: applied entries after which a snapshot is made.
         run_blocking: runs a storage call; by default on another thread.
-        rng: the source of election delays.
+        rng: source of random election timeouts.
     """
 
     def __init__(
@@ -96,56 +102,58 @@
         self._loop = loop
         self._run_blocking = run_blocking or _run_in_thread
         self._inbox: asyncio.Queue[_Proposal | _Received] = asyncio.Queue()
-        self._waiting: dict[int, tuple[int, asyncio.Future[Any]]] = {}
+        self._pending_proposals: dict[int, tuple[int, asyncio.Future[Any]]] = {}
         self._applied_bytes = 0
 
     @property
     def is_leader(self) -> bool:
-        """Whether this replica leads, as far as it knows."""
+        """Whether this replica leads as far as it knows."""
         return self.replica.role == LEADER
 
     def receive(self, envelope: ReplicaMessage) -> None:
-        """Takes a message for this replica; others are passed over."""
+        """Queues a message for this replica; ignores those for others."""
         if envelope.to != self.replica.identity:
             return
         message = codec.decode(envelope.body)
         self._inbox.put_nowait(_Received(envelope.sender, message))
 
     async def propose(self, command: Any) -> Any:
-        """Returns the answer of a command once it is committed and applied.
+        """Returns the answer to a command once it is committed and applied.
 
         Raises:
             NotLeaderError: another replica leads; nothing was appended.
-            LostLeadershipError: its fate is unknown; propose it again.
+            LostLeadershipError: the command may or may not be committed;
+                propose it again.
         """
         answer: asyncio.Future[Any] = self._loop.create_future()
         self._inbox.put_nowait(_Proposal(command, answer))
         return await answer
 
     async def run(self) -> None:
-        """Steps the replica until cancelled."""
+        """Runs the replica until cancelled."""
         while True:
             for item in await self._next_inputs():
-                self._step(item)
+                self._process_input(item)
             self.replica.tick(self._loop.time())
-            await self._carry_out(self.replica.take_output())
-            self._fail_lost()
+            await self._process_output(self.replica.take_output())
+            self._fail_pending_proposals()
 
     async def _next_inputs(self) -> list[_Proposal | _Received]:
-        """Waits for an input or a tick; takes all that has queued up.
+        """Waits for inputs or a tick; returns all queued inputs.
 
-        What queues up while a sync runs shares the next one (group commit).
+        Inputs that arrive during a disk write share the next one (group
+        commit).
         """
         try:
-            first = await asyncio.wait_for(self._inbox.get(), _TICK)
+            first = await asyncio.wait_for(self._inbox.get(), _TICK_SECONDS)
         except TimeoutError:
             return []
-        items = [first]
+        inputs = [first]
         while not self._inbox.empty():
-            items.append(self._inbox.get_nowait())
-        return items
+            inputs.append(self._inbox.get_nowait())
+        return inputs
 
-    def _step(self, item: _Proposal | _Received) -> None:
+    def _process_input(self, item: _Proposal | _Received) -> None:
         now = self._loop.time()
         if isinstance(item, _Received):
             self.replica.receive(item.message, item.sender, now)
@@ -155,10 +163,10 @@
             if not item.answer.done():
                 item.answer.set_exception(NotLeaderError())
             return
-        self._waiting[index] = (self.replica.term, item.answer)
+        self._pending_proposals[index] = (self.replica.term, item.answer)
 
-    async def _carry_out(self, output: Output) -> None:
-        await self._store(output)
+    async def _process_output(self, output: Output) -> None:
+        await self._store_output(output)
         for send in output.messages:
             body = codec.encode(send.message)
             message = ReplicaMessage(self.replica.identity, send.to, body)
@@ -166,42 +174,42 @@
         for entry in output.committed:
             self._applied_bytes += len(entry.command)
             answer = self.state.apply(entry)
-            self._answer(entry.index, entry.term, answer)
+            self._resolve_proposal(entry.index, entry.term, answer)
         if output.committed or output.snapshot:
             self._on_applied()
-            await self._compact()
+            await self._compact_if_due()
 
-    async def _store(self, output: Output) -> None:
+    async def _store_output(self, output: Output) -> None:
         if output.snapshot is not None:
             snapshot = output.snapshot
-            await self._insist(self._replace_stored)
+            await self._write_with_retries(self._replace_stored)
             self.state = _restore(snapshot.data, snapshot.index)
             log_message("log:snapshot_received", index=snapshot.index)
         elif output.entries or output.hard_state:
             append = functools.partial(
                 self._storage.append, output.hard_state, output.entries
             )
-            await self._insist(append)
+            await self._write_with_retries(append)
 
-    async def _insist(self, call: Callable[[], None]) -> None:
-        """Has the disk take something, however long it refuses.
+    async def _write_with_retries(self, call: Callable[[], None]) -> None:
+        """Retries a disk write until it succeeds.
 
-        Until then this replica says nothing, so a leader among them is soon
+        The replica sends no messages meanwhile. Therefore a leader is soon
         replaced, and nothing is acknowledged that is not stored.
         """
-        failing = False
+        is_failing = False
         while True:
             try:
                 await self._run_blocking(call)
             except OSError as error:
-                if not failing:
+                if not is_failing:
                     log_message(
                         "log:disk_refuses", step="write", detail=str(error)
                     )
-                failing = True
-                await asyncio.sleep(_RETRY_STORE)
+                is_failing = True
+                await asyncio.sleep(_WRITE_RETRY_SECONDS)
             else:
-                if failing:
+                if is_failing:
                     log_message("log:disk_regained", step="write")
                 return
 
@@ -213,18 +221,20 @@
             log.slice(log.snapshot.index, log.last_index),
         )
 
-    async def _compact(self) -> None:
+    async def _compact_if_due(self) -> None:
         log = self.replica.log
-        many = self.state.index - log.snapshot.index >= self._compact_entries
-        if not many and self._applied_bytes < _COMPACT_BYTES:
+        has_many_entries = (
+            self.state.index - log.snapshot.index >= self._compact_entries
+        )
+        if not has_many_entries and self._applied_bytes < _COMPACT_BYTES:
             return
         self._applied_bytes = 0
         self.replica.compact(self.state.dump(), self.state.index)
-        await self._insist(self._replace_stored)
+        await self._write_with_retries(self._replace_stored)
         log_message("log:compacted", index=self.state.index)
 
-    def _answer(self, index: int, term: int, answer: Any) -> None:
-        proposed_term, future = self._waiting.pop(index, (0, None))
+    def _resolve_proposal(self, index: int, term: int, answer: Any) -> None:
+        proposed_term, future = self._pending_proposals.pop(index, (0, None))
         if future is None or future.done():
             return
         if proposed_term == term:
@@ -232,13 +242,13 @@
         else:
             future.set_exception(LostLeadershipError())
 
-    def _fail_lost(self) -> None:
-        if self.is_leader or not self._waiting:
+    def _fail_pending_proposals(self) -> None:
+        if self.is_leader or not self._pending_proposals:
             return
-        for _, future in self._waiting.values():
+        for _, future in self._pending_proposals.values():
             if not future.done():
                 future.set_exception(LostLeadershipError())
-        self._waiting.clear()
+        self._pending_proposals.clear()
 
 
 async def _run_in_thread(call: Callable[[], None]) -> None:
--- a/testing/app/conftest.py
+++ b/testing/app/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of several modules."""
+"""Fixtures that several test modules use."""
 
 from collections.abc import AsyncIterator
 
@@ -9,8 +9,8 @@
 
 @pytest.fixture
 async def world() -> AsyncIterator[FrontWorld]:
-    """Returns a front without upstreams."""
-    made = FrontWorld()
-    await made.start()
-    yield made
-    await made.stop()
+    """Yields a running front without upstreams; stops it afterwards."""
+    front = FrontWorld()
+    await front.start()
+    yield front
+    await front.stop()
--- a/testing/app/control_world.py
+++ b/testing/app/control_world.py
@@ -1,4 +1,4 @@
-"""Control planes of several nodes over a faulty network, on a paused clock."""
+"""Control planes of several nodes on a faulty network with a paused clock."""
 
 import asyncio
 import random
@@ -21,15 +21,15 @@
 from testing.app.faulty_network import FaultyNetwork, FaultyPeers
 
 VOTERS = ("a", "b", "c")
-LEASE = 4.0
-# Well below the lease: the leader often takes a live node for gone, and only
-# the leases keep its old and new owners apart.
-PATIENCE = 1.5
+LEASE_SECONDS = 4.0
+# Far below the lease, so that the leader often counts a live node as gone and
+# only the leases keep the old and the new owner of a pool apart.
+SILENCE_TIMEOUT_SECONDS = 1.5
 
 
 @attrs.define
 class MemoryStorage:
-    """Implements `ports.storage.Storage` without a disk."""
+    """Implements `ports.storage.Storage` in memory."""
 
     identity: str
     snapshot: Snapshot
@@ -37,13 +37,13 @@
     entries: list[Entry] = attrs.Factory(list)
 
     def load(self) -> Stored:
-        """Returns what was stored."""
+        """Returns the stored log and snapshot."""
         return Stored(self.hard_state, tuple(self.entries), self.snapshot)
 
     def append(
         self, hard_state: HardState | None, entries: list[Entry]
     ) -> None:
-        """Adds entries."""
+        """Stores the hard state and new entries."""
         self.hard_state = hard_state or self.hard_state
         for entry in entries:
             place_entry(self.entries, entry)
@@ -54,23 +54,23 @@
         hard_state: HardState,
         entries: tuple[Entry, ...],
     ) -> None:
-        """Stores a snapshot."""
+        """Replaces everything that is stored."""
         self.snapshot = snapshot
         self.hard_state = hard_state
         self.entries = list(entries)
 
 
 class RecordedOrders:
-    """Notes who orders what, and when the order arrives."""
+    """Records each order with its time and sender."""
 
     def __init__(self, world: "ControlWorld", name: str) -> None:
         self._world = world
         self._name = name
 
     async def send(self, order: Order) -> str:
-        """Takes an order."""
+        """Records an order; returns `done`."""
         loop = asyncio.get_running_loop()
-        self._world.ordered.append((loop.time(), self._name, order))
+        self._world.sent_orders.append((loop.time(), self._name, order))
         return "done"
 
 
@@ -80,7 +80,7 @@
 
 @attrs.define
 class Member:
-    """A node of the world and its tasks."""
+    """A running node and its tasks."""
 
     control: Control
     pools: Pools
@@ -91,17 +91,20 @@
     """Three voters and some nodes without a disk.
 
     Args:
-        others: names of the nodes without a disk.
+        nodes_without_disk: names of the nodes without a disk.
         seed: decides losses and delays.
-        loss: the share of messages that are lost.
+        loss: share of messages that are lost.
+
+    Attributes:
+        sent_orders: time in seconds, sender and content of each order.
     """
 
     def __init__(
-        self, others: tuple[str, ...], seed: int, loss: float = 0.02
+        self, nodes_without_disk: tuple[str, ...], seed: int, loss: float = 0.02
     ) -> None:
         super().__init__(seed, loss, (0.001, 0.02))
         self.members: dict[str, Member] = {}
-        self.ordered: list[tuple[float, str, Order]] = []
+        self.sent_orders: list[tuple[float, str, Order]] = []
         self._storages = {
             name: MemoryStorage(
                 f"{name}.0",
@@ -109,18 +112,18 @@
             )
             for name in VOTERS
         }
-        self._others = others
+        self._nodes_without_disk = nodes_without_disk
         self._incarnation = 0
 
     # -- nodes ------------------------------------------------------------
 
     def start(self) -> None:
         """Starts all nodes."""
-        for name in (*VOTERS, *self._others):
+        for name in (*VOTERS, *self._nodes_without_disk):
             self.start_node(name)
 
     def start_node(self, name: str) -> None:
-        """Starts a node, from its disk if it has one."""
+        """Starts a node; a voter starts from what it has stored."""
         self._incarnation += 1
         storage = self._storages.get(name)
         node = Node(
@@ -131,11 +134,13 @@
             storage.identity if storage else "",
         )
         peers = FaultyPeers(self, name)
-        settings = ControlSettings({v: v for v in VOTERS}, LEASE, PATIENCE, 0.5)
-        heard: list[Pools] = []
+        settings = ControlSettings(
+            {v: v for v in VOTERS}, LEASE_SECONDS, SILENCE_TIMEOUT_SECONDS, 0.5
+        )
+        created_pools: list[Pools] = []
 
         def heard_pools() -> tuple[str, ...]:
-            return heard[0].heard_pools()
+            return created_pools[0].heard_pools()
 
         control = Control(node, settings, peers, heard_pools)
         if storage is not None:
@@ -150,22 +155,22 @@
         view = StateView(lambda: control.state, control.is_fresh, lambda: False)
         identity = f"{name}#{node.incarnation}"
         orders = RecordedOrders(self, identity)
-        pools = Pools(identity, view, peers, orders, LEASE)
-        heard.append(pools)
+        pools = Pools(identity, view, peers, orders, LEASE_SECONDS)
+        created_pools.append(pools)
         control.add_listener(pools.sync)
-        works = [control.follow(), control.lead(), pools.run()]
+        coroutines = [control.follow(), control.lead(), pools.run()]
         if control.driver is not None:
-            works.append(control.driver.run())
-        tasks = [asyncio.ensure_future(work) for work in works]
+            coroutines.append(control.driver.run())
+        tasks = [asyncio.ensure_future(coroutine) for coroutine in coroutines]
         self.members[name] = Member(control, pools, tasks)
 
     def stop_node(self, name: str) -> None:
-        """Ends a node at once."""
+        """Stops a node at once."""
         for task in self.members.pop(name).tasks:
             task.cancel()
 
     def stop(self) -> None:
-        """Ends all."""
+        """Stops all nodes and background tasks."""
         for name in list(self.members):
             self.stop_node(name)
         self.stop_spawned()
@@ -173,15 +178,15 @@
     # -- network ------------------------------------------------------------
 
     def names(self) -> Iterable[str]:
-        """Returns all nodes."""
-        return (*VOTERS, *self._others)
+        """Returns the names of all nodes."""
+        return (*VOTERS, *self._nodes_without_disk)
 
     def running(self) -> Container[str]:
-        """Returns the nodes that take messages."""
+        """Returns the nodes that receive messages."""
         return self.members
 
     async def handle_message(self, sender: str, name: str, message: Any) -> Any:
-        """Has a node take a message; returns its answer."""
+        """Has a node handle a message; returns its answer."""
         member = self.members[name]
         if isinstance(message, ReplicaMessage):
             if member.control.driver is not None:
@@ -199,19 +204,19 @@
 
     async def announce(self, name: str, sequence: int) -> None:
         """Has a runner announce itself to a node."""
-        said = Announcement(
+        announcement = Announcement(
             "r1", "x", "assist", "east", "r1", 4, 8, sequence=sequence
         )
-        await self.members[name].pools.announce(said)
+        await self.members[name].pools.announce(announcement)
 
     def leader(self) -> str:
-        """Returns the node that leads."""
+        """Returns the name of the leader."""
         return next(
             name for name, m in self.members.items() if m.control.is_leader
         )
 
-    def may_order(self) -> list[str]:
-        """Returns the nodes that would order something of the runner now."""
+    def nodes_allowed_to_order(self) -> list[str]:
+        """Returns the nodes that may send orders to the runner now."""
         now = asyncio.get_running_loop().time()
         return [
             name
--- a/testing/app/faulty_network.py
+++ b/testing/app/faulty_network.py
@@ -1,4 +1,4 @@
-"""Nodes' way to each other, which loses, delays and cuts; on a paused clock."""
+"""A simulated network that loses, delays and blocks messages."""
 
 import asyncio
 import random
@@ -9,12 +9,18 @@
 
 
 class FaultyNetwork:
-    """What worlds of several nodes share.
+    """Base class of simulations with several nodes, on a paused clock.
 
     Args:
         seed: decides losses and delays.
-        loss: the share of messages that are lost.
-        delays: the shortest and the longest way, in seconds.
+        loss: share of messages that are lost.
+        delays: shortest and longest delay of a message, in seconds.
+
+    Attributes:
+        rng: source of random losses and delays.
+        cut_links: pairs of sender and receiver between which no message
+            arrives.
+        reply_delay: additional delay of replies by receiver, in seconds.
     """
 
     def __init__(
@@ -27,31 +33,31 @@
         self._delays = delays
         self._spawned: set[asyncio.Task[Any]] = set()
 
-    def spawn(self, work: Any) -> None:
-        """Runs a coroutine on its own."""
-        task = asyncio.ensure_future(work)
+    def spawn(self, coroutine: Any) -> None:
+        """Runs a coroutine as a background task."""
+        task = asyncio.ensure_future(coroutine)
         self._spawned.add(task)
         task.add_done_callback(self._spawned.discard)
 
     def stop_spawned(self) -> None:
-        """Ends what runs on its own."""
+        """Cancels all background tasks."""
         for task in list(self._spawned):
             task.cancel()
 
     def names(self) -> Iterable[str]:
-        """Returns all nodes, also those that are stopped."""
+        """Returns the names of all nodes, including stopped ones."""
         raise NotImplementedError
 
     def running(self) -> Container[str]:
-        """Returns the nodes that take messages."""
+        """Returns the nodes that receive messages."""
         raise NotImplementedError
 
     async def handle_message(self, sender: str, name: str, message: Any) -> Any:
-        """Has a node take a message; returns its answer."""
+        """Has a node handle a message; returns its answer."""
         raise NotImplementedError
 
     def isolate(self, name: str, *, inbound: bool, outbound: bool) -> None:
-        """Cuts a node off in one direction or both."""
+        """Blocks all messages to a node, from it, or both."""
         for other in self.names():
             if inbound:
                 self.cut_links.add((other, name))
@@ -59,7 +65,7 @@
                 self.cut_links.add((name, other))
 
     async def deliver(self, sender: str, to: str, message: Any) -> Any:
-        """Takes a message to a node and its answer back."""
+        """Delivers a message to a node; returns its answer."""
         await self._travel(sender, to)
         answer = await self.handle_message(sender, to, message)
         await asyncio.sleep(self.reply_delay.get(sender, 0.0))
@@ -74,35 +80,39 @@
             or (sender, to) in self.cut_links
             or to not in self.running()
         ):
-            # As on a real network, a loss shows only by silence.
+            # As on a real network, the sender notices a loss only by a timeout.
             await asyncio.sleep(60.0)
-            raise PeerError("travel", to, "lost")
+            raise PeerError("travel", to, "the message was lost")
 
 
 class FaultyPeers:
-    """A node's way to the others; implements `ports.peers.Peers`."""
+    """Implements `ports.peers.Peers` for one node of the network."""
 
     def __init__(self, network: FaultyNetwork, name: str) -> None:
         self._network = network
         self._name = name
 
     def send(self, address: str, message: Any) -> None:
-        """Sends a message that may be lost."""
-        work = self._network.deliver(self._name, address, message)
-        self._network.spawn(_ignore_errors(work))
+        """Sends a message, which may be lost."""
+        coroutine = self._network.deliver(self._name, address, message)
+        self._network.spawn(_ignore_errors(coroutine))
 
     async def call(self, address: str, message: Any, timeout: float) -> Any:
-        """Returns the answer, or raises `PeerError`."""
-        work = self._network.deliver(self._name, address, message)
+        """Returns the answer to a message.
+
+        Raises:
+            PeerError: there was no answer within `timeout` seconds.
+        """
+        coroutine = self._network.deliver(self._name, address, message)
         try:
-            return await asyncio.wait_for(work, timeout)
+            return await asyncio.wait_for(coroutine, timeout)
         except TimeoutError as error:
             step = type(message).__name__
             raise PeerError(step, address, "no answer in time") from error
 
 
-async def _ignore_errors(work: Any) -> None:
+async def _ignore_errors(coroutine: Any) -> None:
     try:
-        await work
+        await coroutine
     except (TimeoutError, PeerError):
         return
--- a/testing/app/test_control.py
+++ b/testing/app/test_control.py
@@ -1,4 +1,4 @@
-"""Tests of the control plane on a paused clock."""
+"""Tests of the control plane on a simulated network with a paused clock."""
 
 import asyncio
 import random
@@ -14,17 +14,17 @@
     diff,
     make_table,
 )
-from testing.app.control_world import LEASE, VOTERS, ControlWorld
+from testing.app.control_world import LEASE_SECONDS, VOTERS, ControlWorld
 
-_OTHERS = ("x", "y")
-_SEEDS = 40
-_LONG_SEEDS = 1000
+_NODES_WITHOUT_DISK = ("x", "y")
+_SEED_COUNT = 40
+_LONG_SEED_COUNT = 1000
 
 pytestmark = pytest.mark.looptime(noop_cycles=2)
 
 
-def configure(version: int, base: int) -> Configure:
-    """Returns a command that puts a version in force."""
+def make_configure(version: int, base: int) -> Configure:
+    """Returns a command that applies a configuration version."""
     table = make_table(
         [DataCentre("east", "coast")], [Team("t")], [Service("assist")]
     )
@@ -32,33 +32,33 @@
     return Configure(f"o{version}", base, version, f"d{version}", change)
 
 
-async def started(seed: int = 1, loss: float = 0.0) -> ControlWorld:
-    """Returns a world in which version 1 is in force everywhere."""
-    world = ControlWorld(_OTHERS, seed, loss)
+async def start_world(seed: int = 1, loss: float = 0.0) -> ControlWorld:
+    """Returns a world in which all nodes have applied version 1."""
+    world = ControlWorld(_NODES_WITHOUT_DISK, seed, loss)
     world.start()
     await asyncio.sleep(6.0)
     control = world.members["a"].control
-    await control.propose(configure(1, 0), 20.0)
+    await control.propose(make_configure(1, 0), 20.0)
     await asyncio.sleep(2.0)
     return world
 
 
 async def keep_announcing(world: ControlWorld) -> None:
-    """Has the runner announce itself to every node, again and again."""
+    """Has the runner announce itself to all nodes every 0.5 s."""
     sequence = 0
     while True:
         sequence += 1
         for name in list(world.members):
-            # A node may be stopped while another is told.
+            # A node may be stopped during the announcement to another one.
             if name in world.members:
                 await world.announce(name, sequence)
         await asyncio.sleep(0.5)
 
 
 class TestFollow:
-    async def test_a_change_is_in_force_everywhere_soon(self) -> None:
-        world = await started()
-        await world.members["x"].control.propose(configure(2, 1), 5.0)
+    async def test_all_nodes_apply_a_change_within_a_second(self) -> None:
+        world = await start_world()
+        await world.members["x"].control.propose(make_configure(2, 1), 5.0)
         await asyncio.sleep(1.0)
         versions = {
             name: m.control.state.version for name, m in world.members.items()
@@ -66,21 +66,21 @@
         assert set(versions.values()) == {2}
         world.stop()
 
-    async def test_a_node_far_behind_gets_a_snapshot(self) -> None:
-        world = await started()
+    async def test_a_node_far_behind_receives_a_snapshot(self) -> None:
+        world = await start_world()
         world.isolate("x", inbound=True, outbound=True)
         for version in range(2, 60):
             control = world.members["a"].control
-            await control.propose(configure(version, version - 1), 5.0)
+            await control.propose(make_configure(version, version - 1), 5.0)
         world.cut_links.clear()
         await asyncio.sleep(5.0)
         assert world.members["x"].control.state.version == 59
         world.stop()
 
-    async def test_a_restarted_voter_has_what_it_acknowledged(self) -> None:
-        world = await started()
+    async def test_a_restarted_voter_keeps_acknowledged_entries(self) -> None:
+        world = await start_world()
         world.stop_node("b")
-        await world.members["a"].control.propose(configure(2, 1), 20.0)
+        await world.members["a"].control.propose(make_configure(2, 1), 20.0)
         world.start_node("b")
         await asyncio.sleep(5.0)
         assert world.members["b"].control.state.version == 2
@@ -89,29 +89,29 @@
 
 class TestIsFresh:
     @pytest.mark.parametrize("name", ["leader", "a", "x"])
-    async def test_a_node_cut_off_stops_within_its_lease(
+    async def test_an_isolated_node_is_stale_after_its_lease(
         self, name: str
     ) -> None:
-        world = await started()
+        world = await start_world()
         if name == "leader":
             name = world.leader()
         world.isolate(name, inbound=True, outbound=True)
-        await asyncio.sleep(LEASE + 0.5)
+        await asyncio.sleep(LEASE_SECONDS + 0.5)
         assert not world.members[name].control.is_fresh()
         world.stop()
 
     @pytest.mark.parametrize("name", ["a", "x"])
-    async def test_a_node_that_hears_but_is_not_heard_stops_too(
+    async def test_a_node_that_can_not_send_becomes_stale(
         self, name: str
     ) -> None:
-        world = await started()
+        world = await start_world()
         world.isolate(name, inbound=False, outbound=True)
-        await asyncio.sleep(LEASE + 3.0)
+        await asyncio.sleep(LEASE_SECONDS + 3.0)
         assert not world.members[name].control.is_fresh()
         world.stop()
 
-    async def test_a_slow_answer_only_makes_it_more_cautious(self) -> None:
-        world = await started()
+    async def test_slow_replies_add_to_the_age_of_the_state(self) -> None:
+        world = await start_world()
         world.reply_delay["x"] = 0.4
         await asyncio.sleep(5.0)
         control = world.members["x"].control
@@ -122,89 +122,91 @@
             assert control.freshness.age(loop.time()) >= 0.4
         world.stop()
 
-    async def test_without_a_quorum_nobody_is_fresh(self) -> None:
-        world = await started()
+    async def test_no_node_is_fresh_without_a_quorum(self) -> None:
+        world = await start_world()
         for name in VOTERS[:2]:
             world.stop_node(name)
-        await asyncio.sleep(2 * LEASE)
+        await asyncio.sleep(2 * LEASE_SECONDS)
         fresh = [n for n, m in world.members.items() if m.control.is_fresh()]
         assert fresh == []
         world.stop()
 
-    async def test_a_withdrawn_place_is_not_used_past_the_lease(
+    async def test_an_outdated_version_is_not_used_beyond_the_lease(
         self,
     ) -> None:
-        world = await started()
+        world = await start_world()
         world.isolate("x", inbound=True, outbound=True)
-        await world.members["a"].control.propose(configure(2, 1), 20.0)
+        await world.members["a"].control.propose(make_configure(2, 1), 20.0)
         accepted_at = asyncio.get_running_loop().time()
         control = world.members["x"].control
         while control.is_fresh():
             await asyncio.sleep(0.05)
         assert control.state.version == 1
-        assert asyncio.get_running_loop().time() - accepted_at <= LEASE
+        assert asyncio.get_running_loop().time() - accepted_at <= LEASE_SECONDS
         world.stop()
 
 
 class TestOwners:
     async def test_a_lost_owner_is_replaced_after_its_lease(self) -> None:
-        world = await started()
+        world = await start_world()
         world.spawn(keep_announcing(world))
         await asyncio.sleep(5.0)
-        (first,) = world.may_order()
+        (first,) = world.nodes_allowed_to_order()
         world.isolate(first, inbound=True, outbound=True)
-        await asyncio.sleep(4 * LEASE)
-        owners = world.may_order()
+        await asyncio.sleep(4 * LEASE_SECONDS)
+        owners = world.nodes_allowed_to_order()
         assert len(owners) == 1
         assert owners != [first]
         world.stop()
 
     @pytest.mark.timeout(300)
-    async def test_never_two_owners_and_never_back(self) -> None:
-        for seed in range(_SEEDS):
+    async def test_one_owner_at_most_and_versions_only_grow(self) -> None:
+        for seed in range(_SEED_COUNT):
             await _check_schedule(seed)
 
     @pytest.mark.long
     @pytest.mark.timeout(0)
-    async def test_never_two_owners_over_many_more(self) -> None:
-        for seed in range(_SEEDS, _SEEDS + _LONG_SEEDS):
+    async def test_one_owner_at_most_over_many_more_seeds(self) -> None:
+        for seed in range(_SEED_COUNT, _SEED_COUNT + _LONG_SEED_COUNT):
             await _check_schedule(seed)
 
 
 async def _check_schedule(seed: int) -> None:
-    """Cuts, restarts and changes at random; checks all the while."""
-    world = await started(seed, loss=0.02)
+    """Injects random faults and changes while checking the invariants."""
+    world = await start_world(seed, loss=0.02)
     world.spawn(keep_announcing(world))
     rng = random.Random(seed)
-    checker = asyncio.ensure_future(_check(world, seed))
+    invariants = asyncio.ensure_future(_check_invariants(world, seed))
     version = 1
     for _ in range(12):
-        await _disturb(world, rng)
+        await _inject_fault(world, rng)
         version += 1
         control = world.members[rng.choice(list(world.members))].control
-        command = configure(version, version - 1)
+        command = make_configure(version, version - 1)
         proposal = asyncio.ensure_future(control.propose(command, 30.0))
         world.spawn(asyncio.wait([proposal]))
         await asyncio.sleep(rng.uniform(0.5, 6.0))
-    # All faults end here, losses too: with them, a lease may run out at the
-    # very moment at which the end is looked at.
+    # All faults end here, including losses, because a lost message could let a
+    # lease expire just when the final state is checked.
     world.cut_links.clear()
     world.loss = 0.0
-    for name in (*VOTERS, *_OTHERS):
+    for name in (*VOTERS, *_NODES_WITHOUT_DISK):
         if name not in world.members:
             world.start_node(name)
     await asyncio.sleep(40.0)
-    checker.cancel()
-    if checker.done() and not checker.cancelled():
-        checker.result()
+    invariants.cancel()
+    if invariants.done() and not invariants.cancelled():
+        invariants.result()
     versions = {m.control.state.version for m in world.members.values()}
     assert len(versions) == 1, f"seed {seed}: {versions}"
-    assert len(world.may_order()) == 1, f"seed {seed}: {world.may_order()}"
+    assert len(world.nodes_allowed_to_order()) == 1, (
+        f"seed {seed}: {world.nodes_allowed_to_order()}"
+    )
     world.stop()
     await asyncio.sleep(0)
 
 
-async def _disturb(world: ControlWorld, rng: random.Random) -> None:
+async def _inject_fault(world: ControlWorld, rng: random.Random) -> None:
     name = rng.choice(list(world.members))
     action = rng.randrange(4)
     if action == 0:
@@ -215,20 +217,22 @@
     elif action == 2:
         world.cut_links.clear()
     else:
-        for other in (*VOTERS, *_OTHERS):
+        for other in (*VOTERS, *_NODES_WITHOUT_DISK):
             if other not in world.members:
                 world.start_node(other)
                 return
 
 
-async def _check(world: ControlWorld, seed: int) -> None:
+async def _check_invariants(world: ControlWorld, seed: int) -> None:
     seen: dict[str, int] = {}
     while True:
         await asyncio.sleep(0.05)
-        owners = world.may_order()
-        assert len(owners) <= 1, f"seed {seed}: {owners} own the pool"
+        owners = world.nodes_allowed_to_order()
+        assert len(owners) <= 1, f"seed {seed}: {owners} all own the pool"
         for member in world.members.values():
             node = member.control.node.incarnation
             version = member.control.state.version
-            assert version >= seen.get(node, 0), f"seed {seed}: {node} back"
+            assert version >= seen.get(node, 0), (
+                f"seed {seed}: {node} went back"
+            )
             seen[node] = version
--- a/testing/app/test_control_api.py
+++ b/testing/app/test_control_api.py
@@ -1,4 +1,4 @@
-"""Tests of the calls that the operator and upstreams make."""
+"""Tests of the control calls of upstreams and operators."""
 
 from collections.abc import AsyncIterator
 
@@ -17,11 +17,11 @@
 
 pytestmark = pytest.mark.looptime
 
-_PUT = b"/ridgesill/Configuration.Put"
-_GET = b"/ridgesill/Configuration.Get"
-_BEAT = b"/ridgesill/Instances.Heartbeat/u1"
-# All that each heartbeat names; one that lacks a field is refused.
-_SAID = {
+_PUT_PATH = b"/ridgesill/Configuration.Put"
+_GET_PATH = b"/ridgesill/Configuration.Get"
+_HEARTBEAT_PATH = b"/ridgesill/Instances.Heartbeat/u1"
+# All required fields of a heartbeat.
+_HEARTBEAT = {
     "service": "s1",
     "address": "10.0.1.1:80",
     "zone": "a",
@@ -30,12 +30,12 @@
     "sequence": 1,
 }
 
-_LIST = b"/ridgesill/Quarantine.List"
-_LIFT = b"/ridgesill/Quarantine.Lift/"
+_LIST_PATH = b"/ridgesill/Quarantine.List"
+_LIFT_PATH = b"/ridgesill/Quarantine.Lift/"
 
 
 class Recorder:
-    """Implements `ports.http.Responder`; keeps the answer."""
+    """Implements `ports.http.Responder`; records the reply."""
 
     def __init__(self) -> None:
         self.started = False
@@ -58,11 +58,11 @@
         return
 
     def abort(self) -> None:
-        raise AssertionError("an answer to a call was cut off")
+        raise AssertionError("the reply to a call was aborted")
 
 
 class Api:
-    """The control address of a node that leads alone."""
+    """The control API of a node that is the only voter."""
 
     def __init__(self) -> None:
         self.node = LoneNode(storage_of(""))
@@ -74,7 +74,7 @@
         )
 
     async def call(self, path: bytes, body: bytes = b"") -> Recorder:
-        """Makes a call."""
+        """Makes a call; returns the recorded reply."""
         method = b"POST" if body else b"GET"
         answer = Recorder()
         await self._api.serve(HttpRequest(method, path, (), body), answer)
@@ -91,113 +91,116 @@
 
 
 class TestConfiguration:
-    async def test_what_was_put_is_read_back_byte_for_byte(
+    async def test_get_returns_the_put_document_byte_for_byte(
         self, api: Api
     ) -> None:
         data = document(route())
-        assert (await api.call(_PUT, data)).status == 200
-        answer = await api.call(_GET)
+        assert (await api.call(_PUT_PATH, data)).status == 200
+        answer = await api.call(_GET_PATH)
         assert (answer.status, answer.body) == (200, data)
 
-    async def test_the_same_or_an_older_one_is_taken_and_changes_nothing(
+    async def test_the_same_or_an_older_version_is_accepted_without_effect(
         self, api: Api
     ) -> None:
         data = document(route())
-        await api.call(_PUT, data)
-        assert (await api.call(_PUT, data)).status == 200
+        await api.call(_PUT_PATH, data)
+        assert (await api.call(_PUT_PATH, data)).status == 200
         other = document(route(prefix="/y/"))
-        assert (await api.call(_PUT, other)).status == 200
+        assert (await api.call(_PUT_PATH, other)).status == 200
         older = document(route(prefix="/z/"), version=1)
-        assert (await api.call(_PUT, older)).status == 200
-        assert (await api.call(_GET)).body == data
+        assert (await api.call(_PUT_PATH, older)).status == 200
+        assert (await api.call(_GET_PATH)).body == data
 
-    async def test_an_invalid_one_is_refused_and_changes_nothing(
+    async def test_an_invalid_document_is_refused_without_effect(
         self, api: Api
     ) -> None:
         data = document(route())
-        await api.call(_PUT, data)
+        await api.call(_PUT_PATH, data)
         bad = document(route(service="nobody"), version=9)
-        answer = await api.call(_PUT, bad)
+        answer = await api.call(_PUT_PATH, bad)
         assert answer.status == 400
         assert b"nobody" in answer.body
-        assert (await api.call(_GET)).body == data
+        assert (await api.call(_GET_PATH)).body == data
 
-    async def test_before_the_first_there_is_none(self, api: Api) -> None:
-        assert (await api.call(_GET)).status == 404
+    async def test_get_fails_before_the_first_put(self, api: Api) -> None:
+        assert (await api.call(_GET_PATH)).status == 404
 
 
 class TestHeartbeats:
-    async def test_one_is_acknowledged_with_where_to_send_the_next(
+    async def test_the_reply_names_the_address_for_the_next_heartbeat(
         self, api: Api
     ) -> None:
-        body = msgspec.json.encode(_SAID)
-        answer = await api.call(_BEAT, body)
+        body = msgspec.json.encode(_HEARTBEAT)
+        answer = await api.call(_HEARTBEAT_PATH, body)
         assert answer.status == 200
         assert msgspec.json.decode(answer.body) == {
             "heartbeat_address": "10.0.0.1:80"
         }
 
-    async def test_without_an_owner_it_is_sent_elsewhere(self) -> None:
+    async def test_without_an_owner_the_reply_is_unavailable(self) -> None:
         api = Api()
-        body = msgspec.json.encode(_SAID)
-        assert (await api.call(_BEAT, body)).status == 503
+        body = msgspec.json.encode(_HEARTBEAT)
+        assert (await api.call(_HEARTBEAT_PATH, body)).status == 503
 
-    async def test_one_of_a_service_that_no_configuration_names_is_refused(
+    async def test_a_heartbeat_of_an_unknown_service_is_refused(
         self, api: Api
     ) -> None:
-        # It was accepted, and told to all nodes.
-        said = {**_SAID, "service": "s9"}
+        # Guards against accepting the heartbeat and sending it to all nodes as
+        # news.
+        unknown = {**_HEARTBEAT, "service": "s9"}
         api.node.owner.apply_table(RouteTable(1, [], [Service("s1", "/", 0)]))
-        answer = await api.call(_BEAT, msgspec.json.encode(said))
+        answer = await api.call(_HEARTBEAT_PATH, msgspec.json.encode(unknown))
         assert answer.status == 400
         assert b"service" in answer.body
-        answer = await api.call(_BEAT, msgspec.json.encode(_SAID))
+        answer = await api.call(
+            _HEARTBEAT_PATH, msgspec.json.encode(_HEARTBEAT)
+        )
         assert answer.status == 200
 
-    async def test_one_that_can_not_be_read(self, api: Api) -> None:
-        assert (await api.call(_BEAT, b"{}")).status == 400
+    async def test_an_invalid_heartbeat_is_refused(self, api: Api) -> None:
+        assert (await api.call(_HEARTBEAT_PATH, b"{}")).status == 400
 
 
 class TestQuarantine:
-    async def _hold(self, api: Api) -> str:
-        held = Fingerprint("target", "content", "caller")
+    async def _quarantine(self, api: Api) -> str:
+        fingerprint = Fingerprint("target", "content", "caller")
         for number in range(3):
-            noted = NoteUpstreamEnd(f"i-{number}", (held,))
-            await api.node.control.propose(noted, 1.0)
-        return held.content
+            upstream_end = NoteUpstreamEnd(f"i-{number}", (fingerprint,))
+            await api.node.control.propose(upstream_end, 1.0)
+        return fingerprint.content
 
-    async def test_operators_see_what_is_held_and_lift_it(
+    async def test_operators_list_and_lift_quarantined_requests(
         self, api: Api
     ) -> None:
-        content = await self._hold(api)
-        listed = await api.call(_LIST)
+        content = await self._quarantine(api)
+        listed = await api.call(_LIST_PATH)
         assert msgspec.json.decode(listed.body) == [
             {"request": content, "ended": ["i-0", "i-1", "i-2"]}
         ]
-        lifted = await api.call(_LIFT + content.encode(), b"{}")
+        lifted = await api.call(_LIFT_PATH + content.encode(), b"{}")
         assert lifted.status == 200
-        listed = await api.call(_LIST)
+        listed = await api.call(_LIST_PATH)
         assert msgspec.json.decode(listed.body) == []
 
-    async def test_what_is_not_held_can_not_be_lifted(self, api: Api) -> None:
-        lifted = await api.call(_LIFT + b"unknown", b"{}")
+    async def test_an_unknown_fingerprint_can_not_be_lifted(
+        self, api: Api
+    ) -> None:
+        lifted = await api.call(_LIFT_PATH + b"unknown", b"{}")
         assert lifted.status == 404
 
 
 class TestQuotas:
-    async def test_operators_see_what_customers_use(self, api: Api) -> None:
+    async def test_operators_list_the_use_of_customers(self, api: Api) -> None:
         customer = {"name": "alice", "api_keys": ["s3cret"], "rate_per_s": 5}
         put = document(route(), tenants=[{**customer, "burst": 7}])
-        assert (await api.call(_PUT, put)).status == 200
+        assert (await api.call(_PUT_PATH, put)).status == 200
         api.node.owner.apply_table(decode_configuration(put))
         listed = await api.call(b"/ridgesill/Quotas.List")
-        (said,) = msgspec.json.decode(listed.body)
-        assert (said["customer"], said["allowed"]) == ("alice", 8 * 5 + 7)
+        (use,) = msgspec.json.decode(listed.body)
+        assert (use["customer"], use["allowed"]) == ("alice", 8 * 5 + 7)
         assert b"s3cret" not in listed.body
 
-    async def test_another_node_names_the_one_that_knows(
-        self, api: Api
-    ) -> None:
+    async def test_another_node_names_the_owner(self, api: Api) -> None:
         api.node.owner._give_up()
         listed = await api.call(b"/ridgesill/Quotas.List")
         assert listed.status == 503
--- a/testing/app/test_formation.py
+++ b/testing/app/test_formation.py
@@ -1,4 +1,4 @@
-"""Tests of how the first voters come together."""
+"""Tests of bootstrapping the first set of voters."""
 
 import random
 from pathlib import Path
@@ -12,48 +12,54 @@
 _SEEDS = _NAMES[:3]
 
 
-def form_on(folder: Path, name: str, *, first: bool = True) -> Formation:
-    """Returns the formation of a node whose disk is below a folder."""
+def make_formation(
+    folder: Path, name: str, *, is_first_start: bool = True
+) -> Formation:
+    """Returns the formation of a node that stores its log in a folder."""
     storage = FileLog(folder / name.replace(":", "_"))
-    return Formation(storage, name, _SEEDS, 3, is_first_start=first)
+    return Formation(storage, name, _SEEDS, 3, is_first_start=is_first_start)
 
 
-def as_node(name: str, identity: str) -> Node:
+def make_node(name: str, identity: str) -> Node:
     """Returns a node with a disk."""
     return Node(name, "1", name, "a", identity)
 
 
 def open_replica(folder: Path, name: str) -> Replica:
-    """Returns the replica on a node's disk."""
+    """Returns the replica that a node has stored in a folder."""
     storage = FileLog(folder / name.replace(":", "_"))
     rng = random.Random(name)
     return Replica(storage.identity, storage.load(), 0.0, rng)
 
 
-def run(
+def run_replicas(
     replicas: dict[str, Replica], seconds: float, start: float = 0.0
 ) -> None:
-    """Carries messages between replicas without losing any."""
+    """Runs replicas for some seconds and delivers all their messages."""
     now = start
     while now < start + seconds:
         now += 0.05
         for replica in replicas.values():
             replica.tick(now)
-        busy = True
-        while busy:
-            busy = False
+        has_messages = True
+        while has_messages:
+            has_messages = False
             for sender, replica in replicas.items():
                 for send in replica.take_output().messages:
-                    busy = True
+                    has_messages = True
                     if send.to in replicas:
                         replicas[send.to].receive(send.message, sender, now)
 
 
 async def form_three(folder: Path) -> list[str]:
-    """Forms three voters; returns their identities, the founder's first."""
-    formations = [form_on(folder, name) for name in _SEEDS]
+    """Bootstraps three voters.
+
+    Returns:
+        Their identities, the founder's first.
+    """
+    formations = [make_formation(folder, name) for name in _SEEDS]
     nodes = [
-        as_node(name, formation.identity)
+        make_node(name, formation.identity)
         for name, formation in zip(_SEEDS, formations, strict=True)
     ]
     for node in nodes[1:]:
@@ -64,13 +70,15 @@
 
 
 class TestFormation:
-    async def test_every_voter_learns_who_votes(self, tmp_path: Path) -> None:
+    async def test_every_voter_learns_the_set_of_voters(
+        self, tmp_path: Path
+    ) -> None:
         identities = await form_three(tmp_path)
         replicas = {
             identity: open_replica(tmp_path, name)
             for identity, name in zip(identities, _SEEDS, strict=True)
         }
-        run(replicas, 10.0)
+        run_replicas(replicas, 10.0)
         for replica in replicas.values():
             assert set(replica.voters.voters) == set(identities)
 
@@ -82,30 +90,32 @@
             identity: open_replica(tmp_path, name)
             for identity, name in zip(identities, _SEEDS, strict=True)
         }
-        run(replicas, 10.0)
+        run_replicas(replicas, 10.0)
         del replicas[identities[0]]
-        run(replicas, 60.0, start=10.0)
+        run_replicas(replicas, 60.0, start=10.0)
         assert LEADER in {replica.role for replica in replicas.values()}
 
-    async def test_a_founder_that_restarts_does_not_found_again(
+    async def test_a_restarted_founder_keeps_its_identity(
         self, tmp_path: Path
     ) -> None:
         identities = await form_three(tmp_path)
-        again = form_on(tmp_path, _SEEDS[0])
-        await again.form(as_node(_SEEDS[0], again.identity))
-        assert again.identity == identities[0]
+        restarted = make_formation(tmp_path, _SEEDS[0])
+        await restarted.form(make_node(_SEEDS[0], restarted.identity))
+        assert restarted.identity == identities[0]
 
-    async def test_an_empty_disk_later_gets_a_fresh_identity(
+    async def test_an_empty_disk_gets_a_new_identity_later(
         self, tmp_path: Path
     ) -> None:
         identities = await form_three(tmp_path)
-        later = form_on(tmp_path / "new", _SEEDS[0], first=False)
-        await later.form(as_node(_SEEDS[0], later.identity))
-        assert later.identity not in identities
+        joined = make_formation(
+            tmp_path / "new", _SEEDS[0], is_first_start=False
+        )
+        await joined.form(make_node(_SEEDS[0], joined.identity))
+        assert joined.identity not in identities
 
 
 class FullDisk(FileLog):
-    """Refuses the first identities that it is given."""
+    """Fails the first two attempts to store an identity."""
 
     refusals = 2
 
@@ -117,10 +127,11 @@
 
 
 class TestFullDisk:
-    def test_a_start_on_an_empty_disk_that_is_full_ends_nothing(
+    def test_a_start_on_a_full_empty_disk_is_retried(
         self, tmp_path: Path
     ) -> None:
-        # Soak seed 227: a wiped node that started on a full disk ended.
+        # Guards against a wiped node that ends when it starts on a full disk;
+        # seen in the soak test with seed 227.
         disk = FullDisk(tmp_path)
         formation = Formation(disk, "n1:1", ["n0:1"], 3, is_first_start=False)
         assert formation.identity.startswith("n1:1.")
--- a/testing/app/test_log_driver.py
+++ b/testing/app/test_log_driver.py
@@ -1,4 +1,4 @@
-"""Tests of a replica's driver, beside the schedules of the replica itself."""
+"""Tests of the driver of a replica; the replica has tests of its own."""
 
 import asyncio
 import errno
@@ -16,7 +16,7 @@
 
 
 class FullStorage(MemoryStorage):
-    """A disk that takes nothing while it is full."""
+    """Storage whose writes fail while `is_full` is set."""
 
     is_full = False
 
@@ -29,7 +29,7 @@
 
 
 class TestFullDisk:
-    async def test_nothing_is_acknowledged_until_the_disk_takes_it(
+    async def test_nothing_is_acknowledged_until_the_write_succeeds(
         self,
     ) -> None:
         storage = FullStorage("a.0", found_snapshot(("a.0",), b""))
