--- a/src/ridgesill/app/control_process.py
+++ b/src/ridgesill/app/control_process.py
@@ -131,7 +131,7 @@
         return with_port(owner, port)
 
     def _report_usage(self) -> UsageReport:
-        """Returns the use that fronts asking this node for news report."""
+        """Returns the use reported by the fronts that get news from here."""
         return self.owner.relay.report()
 
     def _apply_state(self) -> None:
--- a/src/ridgesill/app/fleet_engines.py
+++ b/src/ridgesill/app/fleet_engines.py
@@ -85,7 +85,7 @@
         self.registry = None
 
     def remove_silent(self) -> None:
-        """Removes upstreams whose heartbeats have stopped for too long."""
+        """Removes upstreams that have sent no heartbeat for too long."""
         registry = self.registry
         if registry is None:
             return
@@ -115,12 +115,12 @@
             return
         now = self._now()
         number = registry.number
-        previous = registry.upstreams.get(heartbeat.name)
-        before = registry.find(heartbeat.identity)
+        known_upstream = registry.upstreams.get(heartbeat.name)
+        previous_start = registry.find(heartbeat.identity)
         if not registry.hear(heartbeat, now):
             return
         upstream = registry.upstreams[heartbeat.name]
-        if previous is None or previous.state != upstream.state:
+        if known_upstream is None or known_upstream.state != upstream.state:
             log_message(
                 "fleet:upstream",
                 upstream=upstream.name,
@@ -132,8 +132,8 @@
             self._orders.unknown_words.note(
                 upstream.name, upstream.address, "heartbeat", heartbeat.unknown
             )
-        if before is not None and before.name != upstream.name:
-            self._handle_restart(before, upstream)
+        if previous_start is not None and previous_start.name != upstream.name:
+            self._handle_restart(previous_start, upstream)
         self._apply_heartbeat(heartbeat, upstream, now)
         if registry.number != number:
             for name in list(self._placement.engines):
@@ -220,16 +220,18 @@
             self._time_of_day() - upstream.start / 1000 < _RECENT_START_SECONDS
         )
 
-    def _handle_restart(self, before: Upstream, upstream: Upstream) -> None:
+    def _handle_restart(
+        self, previous_start: Upstream, upstream: Upstream
+    ) -> None:
         """Removes the previous start of an engine that has restarted."""
         log_message(
             "fleet:restarted",
             upstream=upstream.name,
             peer=upstream.address,
             start=upstream.start,
-            before=before.start,
+            before=previous_start.start,
         )
-        self._remove_engine(before.name)
+        self._remove_engine(previous_start.name)
 
     def handle_later_start(self, engine: Engine, report: EngineReport) -> None:
         """Registers a later start that answered instead of the one asked."""
--- a/testing/app/engine_world.py
+++ b/testing/app/engine_world.py
@@ -132,8 +132,8 @@
     def report(self, now: float) -> dict[str, Any]:
         """Returns its last report that is at least 0.4 s old."""
         self.complete_due(now)
-        said = self.describe()
-        self.reports.append((now, said))
+        state = self.describe()
+        self.reports.append((now, state))
         visible_reports = [
             r for at, r in self.reports if at <= now - _REPORT_LAG_SECONDS
         ]
@@ -144,8 +144,8 @@
     """Exchange with a simulated engine.
 
     Args:
-        status: of the answer; 0 if it gets lost.
-        body: of the answer.
+        status: HTTP status of the answer; 0 if the answer gets lost.
+        body: body of the answer.
     """
 
     def __init__(self, status: int, body: bytes) -> None:
@@ -201,8 +201,8 @@
         await asyncio.sleep(0.001)
         now = self._loop.time()
         if request.method == b"GET":
-            said = engine.report(now)
-            return SimulatedExchange(200, msgspec.json.encode(said))
+            state = engine.report(now)
+            return SimulatedExchange(200, msgspec.json.encode(state))
         body = msgspec.json.decode(request.body)
         engine.report(now)
         self.orders.append(body)
--- a/testing/app/faulty_network.py
+++ b/testing/app/faulty_network.py
@@ -82,7 +82,7 @@
         ):
             # As on a real network, the sender notices a loss only by a timeout.
             await asyncio.sleep(60.0)
-            raise PeerError("travel", to, "the message was lost")
+            raise PeerError("travel", to, "lost")
 
 
 class FaultyPeers:
--- a/testing/app/test_control_api.py
+++ b/testing/app/test_control_api.py
@@ -84,10 +84,10 @@
 @pytest.fixture
 async def api() -> AsyncIterator[Api]:
     """Returns the API of a node that owns the fleet."""
-    made = Api()
-    await made.node.start()
-    yield made
-    made.node.stop()
+    created = Api()
+    await created.node.start()
+    yield created
+    created.node.stop()
 
 
 class TestConfiguration:
--- a/testing/app/test_fleet_owner.py
+++ b/testing/app/test_fleet_owner.py
@@ -54,41 +54,41 @@
 class TestOwnership:
     @pytest.mark.parametrize("before", ["", NAME])
     async def test_does_not_wait_for_its_own_lease(self, before: str) -> None:
-        owning = LoneNode(storage_of(before))
+        node = LoneNode(storage_of(before))
         loop = asyncio.get_running_loop()
         started_at = loop.time()
-        owning.owner.apply_table(engine_table())
-        await owning.start()
-        owning.owner.handle_heartbeat(engine_heartbeat())
-        while owning.owner._orders_allowed_from() > loop.time():
+        node.owner.apply_table(engine_table())
+        await node.start()
+        node.owner.handle_heartbeat(engine_heartbeat())
+        while node.owner._orders_allowed_from() > loop.time():
             await asyncio.sleep(0.05)
         # Leases that nobody holds are granted once every possible holder has
         # had the time to report.
         assert loop.time() - started_at < 3.0
-        owning.stop()
+        node.stop()
 
     async def test_waits_for_the_lease_of_another_vm(self) -> None:
-        owning = LoneNode(storage_of("10.0.0.2:70"))
+        node = LoneNode(storage_of("10.0.0.2:70"))
         loop = asyncio.get_running_loop()
         started_at = loop.time()
-        owning.owner.apply_table(engine_table())
-        await owning.start()
-        owning.owner.handle_heartbeat(engine_heartbeat())
+        node.owner.apply_table(engine_table())
+        await node.start()
+        node.owner.handle_heartbeat(engine_heartbeat())
         # The node voted for itself and doesn't know which leader it followed
         # before it started. The previous owner has orders delivered for 0.6 s
         # after it last had a quorum, the holder delivers for 0.5 s after its
         # last stamp, and an order may take 0.15 s to arrive.
         expected = started_at + 0.6 + 0.5 + LEASE + 0.15
-        engine = owning.owner._placement.engines["e1"]
-        while owning.owner._find_authority(engine) is None:
+        engine = node.owner._placement.engines["e1"]
+        while node.owner._find_authority(engine) is None:
             await asyncio.sleep(0.05)
         assert expected <= loop.time() < expected + 0.5
-        owning.stop()
+        node.stop()
 
     async def test_the_log_names_the_last_owner(self) -> None:
-        owning = LoneNode(storage_of("10.0.0.2:70"))
-        assert find_last_owner(owning.driver) == "10.0.0.2:70"
-        owning.stop()
+        node = LoneNode(storage_of("10.0.0.2:70"))
+        assert find_last_owner(node.driver) == "10.0.0.2:70"
+        node.stop()
 
 
 class TestKnowsUses:
@@ -99,49 +99,49 @@
         # any. With four owners in five seconds, each without its predecessor's
         # news, a customer far above its limit got 71 requests through in eight
         # seconds where 69 are tolerated.
-        owning = LoneNode(storage_of(""))
-        await owning.start()
+        node = LoneNode(storage_of(""))
+        await node.start()
         watch = WatchFleet(0, 0, 0.0)
-        first = await owning.owner.handle_watch("f1", watch)
+        first = await node.owner.handle_watch("f1", watch)
         assert not first.knows_uses
         await asyncio.sleep(0.7)
-        later = await owning.owner.handle_watch("f1", watch)
+        later = await node.owner.handle_watch("f1", watch)
         assert later.knows_uses
-        owning.stop()
+        node.stop()
 
 
 class TestTakeOver:
     async def test_a_leaving_engine_stays_leaving(self) -> None:
-        owning = LoneNode(storage_of(""))
+        node = LoneNode(storage_of(""))
         leaving = Upstream("e1", "s", ENGINE, "a", 4, "draining", {"m": 1})
-        owning.owner._follower.view.upstreams["e1"] = leaving
-        owning.owner.apply_table(engine_table())
-        await owning.start()
-        assert owning.owner._placement.engines["e1"].draining
-        owning.stop()
+        node.owner._follower.view.upstreams["e1"] = leaving
+        node.owner.apply_table(engine_table())
+        await node.start()
+        assert node.owner._placement.engines["e1"].draining
+        node.stop()
 
     async def test_nothing_counts_as_unused_before_all_fronts_report(
         self,
     ) -> None:
-        owning = LoneNode(storage_of(""))
-        owner = owning.owner
+        node = LoneNode(storage_of(""))
+        owner = node.owner
         owner._follower.view.fronts = 2
-        await owning.start()
+        await node.start()
         started_at = asyncio.get_running_loop().time()
         await owner.handle_watch("f1", WatchFleet(0, 0, 0.0))
         assert not owner._have_fronts_reported_since(started_at - 1.0)
         await owner.handle_watch("f2", WatchFleet(0, 0, 0.0))
         assert owner._have_fronts_reported_since(started_at - 1.0)
-        owning.stop()
+        node.stop()
 
     async def test_does_not_wait_long_for_fronts_that_are_gone(self) -> None:
-        owning = LoneNode(storage_of(""))
-        owning.owner._follower.view.fronts = 2
-        await owning.start()
+        node = LoneNode(storage_of(""))
+        node.owner._follower.view.fronts = 2
+        await node.start()
         started_at = asyncio.get_running_loop().time()
         await asyncio.sleep(1.6)
-        assert owning.owner._have_fronts_reported_since(started_at)
-        owning.stop()
+        assert node.owner._have_fronts_reported_since(started_at)
+        node.stop()
 
 
 class TestSuspensionOfNewStarts:
@@ -157,19 +157,19 @@
         Returns:
             Seconds after the last order that the previous owner may have sent.
         """
-        owning = LoneNode(storage_of(previous_owner))
+        node = LoneNode(storage_of(previous_owner))
         loop = asyncio.get_running_loop()
-        owning.owner._engines._time_of_day = lambda: 1_000.0 + loop.time()
-        owning.owner.apply_table(engine_table())
-        await owning.start()
+        node.owner._engines._time_of_day = lambda: 1_000.0 + loop.time()
+        node.owner.apply_table(engine_table())
+        await node.start()
         start = int((1_000.0 + loop.time() - started_ago) * 1000)
         start_heartbeat = attrs.evolve(
             engine_heartbeat(), instance="e1", start=start
         )
-        owning.owner.handle_heartbeat(start_heartbeat)
-        engine = owning.owner._placement.engines["e1"]
-        ordered_until = owning.owner._leases.delivered_until()
-        owning.stop()
+        node.owner.handle_heartbeat(start_heartbeat)
+        engine = node.owner._placement.engines["e1"]
+        ordered_until = node.owner._leases.delivered_until()
+        node.stop()
         return max(engine.suspended_until - ordered_until, 0.0)
 
     async def test_recent_start_is_suspended_by_an_owner_without_registry(
@@ -188,25 +188,25 @@
 
 class TestNews:
     async def test_a_leaving_upstream_is_news_for_watchers(self) -> None:
-        owning = LoneNode(storage_of(""))
-        await owning.start()
-        owner = owning.owner
+        node = LoneNode(storage_of(""))
+        await node.start()
+        owner = node.owner
         await owner.submit_heartbeat(heartbeat(1))
         first = await owner.handle_watch("f1", WatchFleet(0, 0, 0.5))
         assert first.whole
         watch = WatchFleet(first.epoch, first.number, 0.5)
-        asking = asyncio.create_task(owner.handle_watch("f1", watch))
+        watch_task = asyncio.create_task(owner.handle_watch("f1", watch))
         await asyncio.sleep(0.2)
         await owner.submit_heartbeat(heartbeat(2, draining=True))
-        news = await asyncio.wait_for(asking, 0.3)
+        news = await asyncio.wait_for(watch_task, 0.3)
         assert [c.record.state for c in news.changes] == ["draining"]
-        owning.stop()
+        node.stop()
 
     async def test_a_node_that_is_not_the_owner_refuses(self) -> None:
-        owning = LoneNode(storage_of(""))
-        news = await owning.owner.handle_watch("f1", WatchFleet(3, 1, 0.1))
+        node = LoneNode(storage_of(""))
+        news = await node.owner.handle_watch("f1", WatchFleet(3, 1, 0.1))
         assert news.epoch == 0
-        answer = await owning.owner.handle_want(WantArtifact("s", "m/a1", 0))
+        answer = await node.owner.handle_want(WantArtifact("s", "m/a1", 0))
         assert (answer.upstream, answer.reason) == ("", "not_owner")
 
 
@@ -214,10 +214,10 @@
     async def test_ready_heartbeats_do_not_undo_an_announced_leave(
         self,
     ) -> None:
-        owning = LoneNode(storage_of(""))
-        owner = owning.owner
+        node = LoneNode(storage_of(""))
+        owner = node.owner
         owner.apply_table(engine_table())
-        await owning.start()
+        await node.start()
         owner.handle_heartbeat(engine_heartbeat())
         engine = owner._placement.engines["e1"]
         owner._handle_leaving(engine)
@@ -227,7 +227,7 @@
         news = await owner.handle_watch("f1", WatchFleet(0, 0, 0.0))
         records = [c.record for c in news.changes if c.record is not None]
         assert [record.state for record in records] == ["draining"]
-        owning.stop()
+        node.stop()
 
 
 class TestSuspension:
@@ -246,24 +246,24 @@
         await asyncio.sleep(0.25)
 
     async def test_upstreams_are_kept_after_a_suspension(self) -> None:
-        owning = LoneNode(storage_of(""))
-        owning.owner.apply_table(engine_table())
-        await owning.start()
-        owning.owner.handle_heartbeat(engine_heartbeat())
+        node = LoneNode(storage_of(""))
+        node.owner.apply_table(engine_table())
+        await node.start()
+        node.owner.handle_heartbeat(engine_heartbeat())
         await self._suspend(6.0)
-        registry = owning.owner._registry
+        registry = node.owner._registry
         assert registry is not None
         assert "e1" in registry.upstreams
         # An upstream that is really gone is removed a few heartbeats later.
         await asyncio.sleep(6.0)
         assert "e1" not in registry.upstreams
-        owning.stop()
+        node.stop()
 
     async def test_nodes_are_kept_after_a_suspension(self) -> None:
-        owning = LoneNode(storage_of(""))
-        control = owning.control
-        leading = asyncio.create_task(control.lead())
-        await owning.start()
+        node = LoneNode(storage_of(""))
+        control = node.control
+        lead_task = asyncio.create_task(control.lead())
+        await node.start()
         front = Node("10.0.0.9:70", "1", "10.0.0.9:70", "a")
         beat = Beat(front, 0, 0, False, ())
         for _ in range(6):
@@ -272,5 +272,5 @@
         assert front.name in control.state.nodes
         await self._suspend(6.0)
         assert front.name in control.state.nodes
-        leading.cancel()
-        owning.stop()
+        lead_task.cancel()
+        node.stop()
--- a/testing/app/test_formation.py
+++ b/testing/app/test_formation.py
@@ -127,11 +127,9 @@
 
 
 class TestFullDisk:
-    def test_a_start_on_a_full_empty_disk_is_retried(
-        self, tmp_path: Path
-    ) -> None:
-        # Guards against a wiped node that ends when it starts on a full disk;
-        # seen in the soak test with seed 227.
+    def test_joining_on_a_full_disk_is_retried(self, tmp_path: Path) -> None:
+        # Guards against a node whose process ends when it starts without an
+        # identity on a full disk; seen in the soak test with seed 227.
         disk = FullDisk(tmp_path)
         formation = Formation(disk, "n1:1", ["n0:1"], 3, is_first_start=False)
         assert formation.identity.startswith("n1:1.")
--- a/testing/app/test_log_driver.py
+++ b/testing/app/test_log_driver.py
@@ -40,15 +40,15 @@
             run_blocking=_run_inline,
             rng=random.Random(1),
         )
-        running = asyncio.create_task(driver.run())
+        driver_task = asyncio.create_task(driver.run())
         while not driver.is_leader:
             await asyncio.sleep(0.1)
         storage.is_full = True
         answer = asyncio.create_task(driver.propose(PutRoutes(1, b"x")))
         await asyncio.sleep(5.0)
         assert not answer.done()
-        assert not running.done()
+        assert not driver_task.done()
         storage.is_full = False
         await asyncio.wait_for(answer, 2.0)
         assert driver.state.routes_version == 1
-        running.cancel()
+        driver_task.cancel()
