--- a/src/ridgesill/app/control.py
+++ b/src/ridgesill/app/control.py
@@ -443,7 +443,7 @@
                 index = -1
         if index < 0:
             raise UnavailableError(
-                f"confirming the latest state: no quorum answered within "
+                f"confirming the newest state: no quorum answered within "
                 f"{timeout} s; retry, and check that most voters run"
             )
 
--- a/src/ridgesill/app/fleet_client.py
+++ b/src/ridgesill/app/fleet_client.py
@@ -224,7 +224,7 @@
         """Has the owner provide an artifact on an engine; returns its answer.
 
         Retries for a short time while no owner is known or the owner changes.
-        The wait ends with an answer without an upstream once the want's
+        The wait ends with an answer without an upstream once the request's
         patience or the time for finding an owner is used up.
         """
         started_at = self._loop.time()
--- a/testing/app/test_control.py
+++ b/testing/app/test_control.py
@@ -176,7 +176,7 @@
     world = await start_world(seed, loss=0.02)
     world.spawn(keep_announcing(world))
     rng = random.Random(seed)
-    invariants = asyncio.ensure_future(_check_invariants(world, seed))
+    invariants_task = asyncio.ensure_future(_check_invariants(world, seed))
     version = 1
     for _ in range(12):
         await _inject_fault(world, rng)
@@ -194,9 +194,9 @@
         if name not in world.members:
             world.start_node(name)
     await asyncio.sleep(40.0)
-    invariants.cancel()
-    if invariants.done() and not invariants.cancelled():
-        invariants.result()
+    invariants_task.cancel()
+    if invariants_task.done() and not invariants_task.cancelled():
+        invariants_task.result()
     versions = {m.control.state.version for m in world.members.values()}
     assert len(versions) == 1, f"seed {seed}: {versions}"
     assert len(world.nodes_allowed_to_order()) == 1, (
