--- a/src/ridgesill/app/control.py
+++ b/src/ridgesill/app/control.py
@@ -41,8 +41,12 @@
 # Two messages lost in a row must not cost the lease, as they would with a fixed
 # timeout of 2 s.
 _FOLLOW_MARGIN_SECONDS = 0.5
+# How long one attempt to propose a command to another node may take, in
+# seconds.
 _PROPOSE_ATTEMPT_SECONDS = 2.0
+# Pause before a failed message is sent again, in seconds.
 _RETRY_SECONDS = 0.1
+# How often a leader checks whether nodes or voters have to change, in seconds.
 _LEAD_TICK_SECONDS = 0.25
 # A sleep that lasts longer than planned by this much, in seconds, means that
 # this VM was suspended or could not run.
--- a/src/ridgesill/app/control_api.py
+++ b/src/ridgesill/app/control_api.py
@@ -37,7 +37,9 @@
 # How long a change may take to be committed before the caller is refused, in
 # seconds. Callers turn to another node after a second.
 _PROPOSE_SECONDS = 0.9
+# How long it may take to confirm the newest state before a read, in seconds.
 _CONFIRM_LATEST_SECONDS = 0.9
+# HTTP status codes of refusals.
 _SERVICE_UNAVAILABLE = 503
 _BAD_REQUEST = 400
 
--- a/src/ridgesill/app/fleet_client.py
+++ b/src/ridgesill/app/fleet_client.py
@@ -34,6 +34,7 @@
 # each failure in a row.
 _RELAY_PAUSE_SECONDS = 1.0
 _MAX_RELAY_PAUSE_SECONDS = 8.0
+# Pause before a message is sent to an owner or relay again, in seconds.
 _RETRY_SECONDS = 0.05
 # How long a request for an artifact waits for an owner to be known, and after
 # how long a caller may retry once that failed, both in seconds. An election
@@ -43,7 +44,7 @@
 _NO_OWNER_RETRY_AFTER_SECONDS = 1.5
 # How long the owner may take to choose an engine for a request for which this
 # node could choose one by itself, in seconds. The answer usually takes a few
-# milliseconds, and a request to an engine has a few hundred.
+# milliseconds, and a request to an engine has to start within a few hundred.
 _ASSIGN_SECONDS = 0.08
 # How long the owner isn't asked to choose after it failed to answer in time, in
 # seconds. An election takes a second, and each unanswered message delays a
--- a/src/ridgesill/app/fleet_owner.py
+++ b/src/ridgesill/app/fleet_owner.py
@@ -65,6 +65,7 @@
 
 # Pool name under which the log records who owns the fleet.
 FLEET = "fleet"
+# How often the owner checks its ownership and does its upkeep, in seconds.
 _TICK_SECONDS = 0.1
 # An owner acts only if a quorum has confirmed its leadership within this time,
 # in seconds. It is below the shortest election timeout, so that no successor
--- a/src/ridgesill/app/log_driver.py
+++ b/src/ridgesill/app/log_driver.py
@@ -17,7 +17,10 @@
 
 RunBlocking = Callable[[Callable[[], None]], Awaitable[None]]
 
+# How long the driver waits for inputs before it checks the replica's timers, in
+# seconds.
 _TICK_SECONDS = 0.1
+# Applied entries after which a snapshot is made.
 _COMPACT_ENTRIES = 1000
 # Bytes of applied commands after which a snapshot is made, since a routing
 # document can be a hundred times as large as other commands.
