--- a/testing/app/test_log_driver.py
+++ b/testing/app/test_log_driver.py
@@ -1,4 +1,4 @@
-"""Tests of a replica's driver, beside the schedules of the replica itself."""
+"""Tests of the driver of a replica; the replica has tests of its own."""
 
 import asyncio
 import errno
@@ -16,7 +16,7 @@
 
 
 class FullStorage(MemoryStorage):
-    """A disk that takes nothing while it is full."""
+    """Storage whose writes fail while `is_full` is set."""
 
     is_full = False
 
@@ -29,7 +29,7 @@
 
 
 class TestFullDisk:
-    async def test_nothing_is_acknowledged_until_the_disk_takes_it(
+    async def test_nothing_is_acknowledged_until_the_write_succeeds(
         self,
     ) -> None:
         storage = FullStorage("a.0", make_initial_snapshot(("a.0",), b""))
@@ -40,15 +40,15 @@
             run_blocking=_run_inline,
             rng=random.Random(1),
         )
-        running = asyncio.create_task(driver.run())
+        driver_task = asyncio.create_task(driver.run())
         while not driver.is_leader:
             await asyncio.sleep(0.1)
         storage.is_full = True
         answer = asyncio.create_task(driver.propose(PutRoutes(1, b"x")))
         await asyncio.sleep(5.0)
         assert not answer.done()
-        assert not running.done()
+        assert not driver_task.done()
         storage.is_full = False
         await asyncio.wait_for(answer, 2.0)
         assert driver.state.routes_version == 1
-        running.cancel()
+        driver_task.cancel()
