--- a/src/ridgesill/app/engine_orders.py
+++ b/src/ridgesill/app/engine_orders.py
@@ -12,7 +12,7 @@
 from eliot import log_message
 
 from ridgesill.adapters.http1.client import UpstreamChannels
-from ridgesill.app.unknown_words import UnknownWords
+from ridgesill.app.unknown_field_log import UnknownFieldLog
 from ridgesill.core.fleet.engine_capacity import fits_from_empty
 from ridgesill.core.fleet.engines import Engine, UnansweredLoad
 from ridgesill.core.fleet.orders import (
@@ -136,7 +136,7 @@
         self._handle_later_start = hear_later_start
         self._handle_leaving = hear_leaving
         self.telemetry: Telemetry = KeptTelemetry()
-        self.unknown_words = UnknownWords(lambda: self.telemetry)
+        self.unknown_field_log = UnknownFieldLog(lambda: self.telemetry)
         self._sent = SentOrders()
         self._locks: dict[str, asyncio.Lock] = {}
         self._loop = asyncio.get_running_loop()
@@ -382,7 +382,7 @@
             )
             return None
         if report.unknown:
-            self.unknown_words.note(
+            self.unknown_field_log.record(
                 engine.name, engine.address, "report", report.unknown
             )
         log_message(
--- a/src/ridgesill/app/entry.py
+++ b/src/ridgesill/app/entry.py
@@ -81,11 +81,11 @@
         self._loop = asyncio.get_running_loop()
 
     @property
-    def held(self) -> int:
+    def grant_count(self) -> int:
         """How many grants this node holds."""
         return len(self._held)
 
-    def note_digest(self, digest: Digest) -> None:
+    def apply_digest(self, digest: Digest) -> None:
         """Takes an owner's hints."""
         self.hints.setdefault(digest.pool, PoolHints()).apply_digest(digest)
 
@@ -131,7 +131,7 @@
         message = Finished(admission.request, admission.pool, verdict)
         self._send_owner(admission.pool, message)
 
-    def note_owners(self) -> None:
+    def apply_owners(self) -> None:
         """Takes in who owns which pool.
 
         New owners are told at once what this node holds of their pools.
--- a/src/ridgesill/app/exchange.py
+++ b/src/ridgesill/app/exchange.py
@@ -35,7 +35,7 @@
 
 
 @attrs.frozen
-class Services:
+class ExchangeServices:
     """What an exchange needs of its process."""
 
     bridge: Bridge
@@ -45,10 +45,10 @@
     metrics: Metrics
 
 
-class Exchanges:
+class RequestServer:
     """Implements `ports.serving.Serving`."""
 
-    def __init__(self, services: Services) -> None:
+    def __init__(self, services: ExchangeServices) -> None:
         self._services = services
 
     def serve(self, request: CallerRequest) -> Reply:
@@ -59,7 +59,9 @@
 class Exchange:
     """Serves one request."""
 
-    def __init__(self, services: Services, request: CallerRequest) -> None:
+    def __init__(
+        self, services: ExchangeServices, request: CallerRequest
+    ) -> None:
         self._services = services
         self._request = request
         self._call = request.call
--- a/src/ridgesill/app/fleet_engines.py
+++ b/src/ridgesill/app/fleet_engines.py
@@ -128,7 +128,7 @@
                 state=upstream.state,
             )
         if heartbeat.unknown:
-            self._orders.unknown_words.note(
+            self._orders.unknown_field_log.record(
                 upstream.name, upstream.address, "heartbeat", heartbeat.unknown
             )
         if before is not None and before.name != upstream.name:
--- a/src/ridgesill/app/forwarding.py
+++ b/src/ridgesill/app/forwarding.py
@@ -18,7 +18,7 @@
     SearchTerms,
     UpstreamSearch,
 )
-from ridgesill.app.upstream_words import HeardIn
+from ridgesill.app.upstream_words import AnswerContext
 from ridgesill.core.fleet.messages import Upstream
 from ridgesill.core.serving.callers import STALE, UNKNOWN_KEY, check_caller
 from ridgesill.core.serving.customers import Customer
@@ -92,18 +92,18 @@
     not_run: bool
     answer: tuple[ResponseHead, bytes] | None = None
     misdirected: bool = False
-    arrived: bool = True
+    reached_upstream: bool = True
     cut: bool = False
     withheld: bool = False
-    rests: bool = False
+    asked_for_rest: bool = False
 
     @property
-    def tells_of_health(self) -> bool:
+    def counts_against_health(self) -> bool:
         """Whether it says that the upstream serves badly.
 
         One that lacks something, or asks for rest, gets what it asks for.
         """
-        return not (self.misdirected or self.withheld or self.rests)
+        return not (self.misdirected or self.withheld or self.asked_for_rest)
 
 
 async def serve_request(
@@ -145,7 +145,7 @@
         self._splitter: EventSplitter | None = None
 
     @property
-    def was_offered(self) -> bool:
+    def was_sent(self) -> bool:
         """Whether the request has reached an upstream."""
         return bool(self._sent_at)
 
@@ -154,7 +154,7 @@
     async def run(self) -> None:
         """Answers the request, whatever becomes of it."""
         if not self._knows_enough():
-            await self._search.learn(self._knows_enough)
+            await self._search.wait_until_known(self._knows_enough)
         route = self._find_route()
         if route is None:
             return
@@ -187,8 +187,8 @@
             self._end("client_left")
             raise
         finally:
-            self._search.draws.release()
-            if self._has_not_run or not self.was_offered:
+            self._search.limit_draws.release()
+            if self._has_not_run or not self.was_sent:
                 self._give_quota_back()
 
     def _knows_enough(self) -> bool:
@@ -199,7 +199,7 @@
         if table.customers.quotas and not self._front.fleet.view.epoch:
             # Without any news it would go by its own part of each limit.
             return False
-        knowledge = self._front.knowledge(self._loop.time())
+        knowledge = self._front.configuration_freshness(self._loop.time())
         return not (knowledge.is_stale and knowledge.is_missing)
 
     async def _find_caller(self, route: Route) -> Result[Customer | None, str]:
@@ -209,7 +209,7 @@
         caller = self._check_caller(route)
         while caller == Err(UNKNOWN_KEY) and self._facts.key_digest:
             left = deadline - self._loop.time()
-            if left <= 0 or not await self._front.learned.within(left):
+            if left <= 0 or not await self._front.discovery_signal.within(left):
                 break
             if self._front.table.version != version:
                 caller = self._check_caller(route)
@@ -220,13 +220,13 @@
             route,
             self._front.table.customers,
             self._facts.key_digest,
-            self._front.knowledge(self._loop.time()),
+            self._front.configuration_freshness(self._loop.time()),
         )
 
     def _note_customer(self, customer: Customer | None) -> None:
         self._customer = customer
         if customer is not None:
-            self._suspect.note_customer(customer.name)
+            self._suspect.set_customer(customer.name)
 
     def _is_beyond_quota(self) -> bool:
         if self._customer is None:
@@ -280,7 +280,7 @@
         self._deadline = self._request.arrived_at + seconds - margin
         self._goal_at = self._request.arrived_at + route.goal
         self._service = route.choose_target(self._front.rng.random())
-        self._search.begin(
+        self._search.set_terms(
             SearchTerms(
                 self._service,
                 route.goal,
@@ -292,7 +292,7 @@
         )
         self._front.retries(self._service).record_request(self._loop.time())
         if self._facts.artifact:
-            self._front.note_used(self._facts.artifact)
+            self._front.record_request(self._facts.artifact)
         if route.kind == STREAM and route.resumable:
             self._splitter = EventSplitter(self._facts.last_event)
 
@@ -339,7 +339,7 @@
         artifact = self._facts.artifact
         chooser.record_start(upstream.name, artifact)
         self._sent_at = self._loop.time()
-        self._search.draws.record_sent(upstream.name, self._sent_at)
+        self._search.limit_draws.record_sent(upstream.name, self._sent_at)
         chooser.outcomes.record_sent(upstream.name, self._sent_at)
         self._asked = upstream.name
         exchange: Exchange | None = None
@@ -352,10 +352,12 @@
             chooser.outcomes.record_byte(upstream.name, self._loop.time())
             failure = await self._take(route, upstream, exchange, head)
             if failure is not None and rests:
-                failure = attrs.evolve(failure, rests=True)
+                failure = attrs.evolve(failure, asked_for_rest=True)
         except _WithheldError as error:
             self._note_not_sent(upstream)
-            failure = Failure(str(error), True, arrived=False, withheld=True)
+            failure = Failure(
+                str(error), True, reached_upstream=False, withheld=True
+            )
         except ChannelError as error:
             if not error.sent:
                 self._note_not_sent(upstream)
@@ -363,7 +365,7 @@
             failure = Failure(
                 str(error),
                 not error.sent,
-                arrived=error.sent,
+                reached_upstream=error.sent,
                 cut=error.sent,
             )
         finally:
@@ -376,7 +378,7 @@
 
     def _note_not_sent(self, upstream: Upstream) -> None:
         now = self._loop.time()
-        self._search.draws.revert_sent(upstream.name, now)
+        self._search.limit_draws.revert_sent(upstream.name, now)
 
     def _take_word(self, upstream: Upstream, head: ResponseHead) -> bool:
         """Notes what an upstream says of itself beside its answer.
@@ -387,25 +389,25 @@
         dialect = self._front.dialect
         unknown = dialect.find_unknown(head)
         if unknown:
-            self._front.unknown_words.note(
+            self._front.unknown_field_log.record(
                 upstream.name, upstream.address, "answer", unknown
             )
         word = dialect.read_word(head)
         if word == NO_WORD and not self._front.limits.known:
             return False
-        heard_in = HeardIn(
+        heard_in = AnswerContext(
             self._facts.request,
             head.status,
             self._search.chosen_by,
             self._sent_at,
         )
-        self._front.words.take(upstream, word, heard_in)
+        self._front.upstream_words.handle_word(upstream, word, heard_in)
         return bool(word.rest) or word.limit is not None
 
     def _tell_reading_ended(self, failure: Failure | None) -> None:
         """Tells the owner of a prompt that has had no first event."""
-        arrived = failure is None or failure.arrived
-        self._search.note_reading_ended(
+        arrived = failure is None or failure.reached_upstream
+        self._search.report_reading_ended(
             was_read=False,
             # An engine that says that it did not run a request is well.
             failed=failure is not None
@@ -423,7 +425,7 @@
         terms = ForwardTerms(
             upstream.name,
             self._deadline - now,
-            self._search.wanted().version,
+            self._search.requirements().version,
             last_event,
             self._search.rank(now),
             self._customer.name if self._customer else "",
@@ -435,7 +437,7 @@
             fresh_within=fresh,
             most=self._channels_most(),
         )
-        if not self._search.takes_requests(upstream.name):
+        if not self._search.accepts_requests(upstream.name):
             # Another answer has said so while the channel came up.
             front.channels.put_back(channel)
             raise _WithheldError(f"{upstream.name} wants no requests now")
@@ -499,7 +501,7 @@
             if splitter is not None:
                 data = splitter.feed(data)
             if data:
-                self._search.note_reading_ended(was_read=True)
+                self._search.report_reading_ended(was_read=True)
                 self._note_first()
                 responder.send_data(data)
                 await responder.drain()
@@ -513,9 +515,11 @@
             return
         now = self._first_at = self._loop.time()
         took = now - self._sent_at
-        self._front.admission(self._service).record_first_event(took, now)
+        self._front.admission_control(self._service).record_first_event(
+            took, now
+        )
         tokens = self._facts.prompt_tokens
-        self._front.reading(self._service).record(tokens, took)
+        self._front.prefill_rate(self._service).record(tokens, took)
 
     def _deliver(self, head: ResponseHead, body: bytes) -> None:
         responder = self._responder
@@ -537,19 +541,19 @@
         self._front.chooser.outcomes.record_success(upstream.name, now)
         if not head.tells_its_end:
             # It may be the end of the upstream that looks like the answer's.
-            self._suspect.note_cut(upstream)
+            self._suspect.record_cut(upstream)
         elif head.status < _REDIRECT:
             # A failure doesn't show that the upstream has begun it.
-            self._suspect.note_served()
+            self._suspect.record_served()
         self._end("served", upstream.name, status=head.status)
 
     def _note_failure(self, upstream: Upstream, failure: Failure) -> None:
         self._may_have_run |= not failure.not_run
         now = self._loop.time()
         ejected = False
-        if failure.tells_of_health:
+        if failure.counts_against_health:
             ejected = self._front.chooser.outcomes.record_failure(
-                upstream.name, now, unreachable=not failure.arrived
+                upstream.name, now, unreachable=not failure.reached_upstream
             )
         log_message(
             "request:attempt_failed",
@@ -562,14 +566,14 @@
             view_age=round(now - self._front.fleet.view.updated_at, 3),
         )
         if failure.cut:
-            self._suspect.note_cut(upstream)
+            self._suspect.record_cut(upstream)
 
     def _may_retry(self, route: Route, failure: Failure) -> bool:
         if not failure.not_run and not route.is_idempotent:
             return False
         if self._responder.started and not route.resumable:
             return False
-        if not failure.arrived:
+        if not failure.reached_upstream:
             # Nothing reached the upstream, so this draws on no budget.
             return len(self._tried) < 2 * route.attempts + 1
         if not failure.not_run and len(self._tried) >= route.attempts:
@@ -620,7 +624,7 @@
 
     def _refuse(self, refusal: Refusal) -> None:
         self._has_not_run = True
-        self._answer(refusal.status, refusal.after)
+        self._answer(refusal.status, refusal.retry_after)
         self._end("refused", reason=refusal.reason)
 
     def _answer(self, status: int, after: float) -> None:
@@ -647,7 +651,7 @@
                 _bounded(reason),
                 seconds,
                 first,
-                self._search.waited,
+                self._search.waited_seconds,
                 len(self._tried),
                 self._customer_label(),
                 outcome == "served"
@@ -668,10 +672,10 @@
             reason=reason,
             status=status,
             attempts=len(self._tried),
-            waited=round(self._search.waited, 4),
+            waited=round(self._search.waited_seconds, 4),
             tokens=self._facts.prompt_tokens,
             sent=round(max(self._sent_at - arrived_at, 0.0), 4),
-            foretold=round(self._search.foretold, 4),
+            foretold=round(self._search.predicted_first_seconds, 4),
             goal=round(route.goal, 4) if route else 0.0,
             first=round(first, 4),
             seconds=round(seconds, 4),
--- a/src/ridgesill/app/front.py
+++ b/src/ridgesill/app/front.py
@@ -6,7 +6,7 @@
 from ridgesill.app.change_signal import ChangeSignal
 from ridgesill.app.fleet_client import FleetClient
 from ridgesill.app.quarantine import Quarantine
-from ridgesill.app.unknown_words import UnknownWords
+from ridgesill.app.unknown_field_log import UnknownFieldLog
 from ridgesill.app.upstream_words import UpstreamWords
 from ridgesill.core.fleet.use_reports import Sent
 from ridgesill.core.freshness import Freshness
@@ -57,13 +57,15 @@
         self.rng = random.Random()
         self.quotas = FrontRates(self.rng)
         self.limits = FrontLimits(self.rng, name)
-        self.words = UpstreamWords(chooser.unavailable, self.limits, fleet)
+        self.upstream_words = UpstreamWords(
+            chooser.unavailable, self.limits, fleet
+        )
         self.in_progress = 0
-        self.used: dict[str, int] = {}
+        self.request_counts: dict[str, int] = {}
         self.telemetry: Telemetry = KeptTelemetry()
-        self.unknown_words = UnknownWords(lambda: self.telemetry)
+        self.unknown_field_log = UnknownFieldLog(lambda: self.telemetry)
         # Noted when routes or upstreams become known.
-        self.learned = ChangeSignal()
+        self.discovery_signal = ChangeSignal()
         # From when requests that may outlast this process are refused, and
         # when it cuts what is left, on the loop's clock.
         self.refuses_from = float("inf")
@@ -75,7 +77,7 @@
         self._admissions: dict[str, AdmissionControl] = {}
         self._readings: dict[str, PrefillRate] = {}
 
-    def knowledge(self, now: float) -> ConfigurationFreshness:
+    def configuration_freshness(self, now: float) -> ConfigurationFreshness:
         """Returns how sure this front is of its configuration."""
         return ConfigurationFreshness(
             self._freshness.age(now), self._revocation
@@ -88,25 +90,25 @@
             budget = self._retries[service] = ServiceRetries(self._bounds)
         return budget
 
-    def admission(self, service: str) -> AdmissionControl:
+    def admission_control(self, service: str) -> AdmissionControl:
         """Returns the measure of how long a service's engines take."""
         return self._admissions.setdefault(service, AdmissionControl())
 
-    def reading(self, service: str) -> PrefillRate:
+    def prefill_rate(self, service: str) -> PrefillRate:
         """Returns the measure of how fast a service's engines read."""
         return self._readings.setdefault(service, PrefillRate())
 
-    def take_sent(self) -> Sent:
+    def collect_sent(self) -> Sent:
         """Returns what was sent under rates since the last call."""
         since = min(self.quotas.used_since, self.limits.rates.used_since)
         uses = self.quotas.collect_uses()
         return Sent(uses, self.limits.rates.collect_uses(), since)
 
-    def note_used(self, artifact: str) -> None:
+    def record_request(self, artifact: str) -> None:
         """Counts a request for an artifact, to be told the owner."""
-        self.used[artifact] = self.used.get(artifact, 0) + 1
+        self.request_counts[artifact] = self.request_counts.get(artifact, 0) + 1
 
-    def take_used(self) -> dict[str, int]:
+    def collect_request_counts(self) -> dict[str, int]:
         """Returns the requests by artifact since the last call."""
-        used, self.used = self.used, {}
+        used, self.request_counts = self.request_counts, {}
         return used
--- a/src/ridgesill/app/front_process.py
+++ b/src/ridgesill/app/front_process.py
@@ -95,7 +95,7 @@
             bounds.revocation * _REVOCATION_SHARE,
             settings.vm,
         )
-        self.fleet.add_listener(self.front.learned.note)
+        self.fleet.add_listener(self.front.discovery_signal.note)
         self.fleet.add_listener(self._note_news)
         self._callers = HttpListener(
             settings.callers, functools.partial(serve_request, self.front)
@@ -118,10 +118,10 @@
         now = self._loop.time()
         resting = chooser.unavailable.list_resting(now)
         return UsageReport(
-            self.front.take_used(),
+            self.front.collect_request_counts(),
             chooser.report_busy(),
             resting=dict.fromkeys(resting, 1),
-            sent=self.front.take_sent(),
+            sent=self.front.collect_sent(),
             limits=self.front.limits.list_unreported(self.fleet.view, now),
         )
 
@@ -138,12 +138,12 @@
         state = self.control.state
         self._relays = find_relays(self._node, state.nodes.values())
         self.front.versions = state.artifact_versions
-        self.front.quarantine.take(state)
+        self.front.quarantine.apply_state(state)
         table = read_newer_table(state, self.front.table)
         if table is None:
             return
         self.front.table = table
-        self.front.learned.note()
+        self.front.discovery_signal.note()
         if table.limits is not None:
             self._callers.limits = table.limits
         log_message(
@@ -170,7 +170,7 @@
         """Whether callers with keys get nothing here."""
         if self.front.table.customers is None:
             return False
-        return self.front.knowledge(self._loop.time()).is_stale
+        return self.front.configuration_freshness(self._loop.time()).is_stale
 
     async def _tell_ready(
         self, request: HttpRequest, responder: Responder
@@ -230,7 +230,9 @@
             now = self._loop.time()
             self.front.chooser.unavailable.discard_except(known, now)
             self.front.limits.discard_except(known, now)
-            self.front.words.remind(self.fleet.view.upstreams.values())
+            self.front.upstream_words.resend_leaves(
+                self.fleet.view.upstreams.values()
+            )
 
     def _swap_telemetry(self, telemetry: Telemetry) -> Telemetry:
         before, self.front.telemetry = self.front.telemetry, telemetry
--- a/src/ridgesill/app/node.py
+++ b/src/ridgesill/app/node.py
@@ -24,7 +24,7 @@
 from ridgesill.app.bridge import Bridge
 from ridgesill.app.control import Control, ControlSettings
 from ridgesill.app.entry import Entry, StateView
-from ridgesill.app.exchange import Exchanges, Services
+from ridgesill.app.exchange import ExchangeServices, RequestServer
 from ridgesill.app.log_driver import LogDriver, ReplicaMessage
 from ridgesill.app.once import Once
 from ridgesill.app.pools import Pools
@@ -107,7 +107,7 @@
         )
         self.entry = Entry(self.identity, view, self._peers)
         self.control.add_listener(self.pools.sync)
-        self.control.add_listener(self.entry.note_owners)
+        self.control.add_listener(self.entry.apply_owners)
         self._metrics = Metrics()
         self._wire_metrics()
         self._caller_app = self._make_caller_app()
@@ -147,7 +147,7 @@
 
     def _make_caller_app(self) -> CallerApp:
         settings = self._settings
-        services = Services(
+        services = ExchangeServices(
             self._bridge,
             self.entry,
             Once(self.control),
@@ -158,7 +158,7 @@
             settings.streams, settings.body_bytes, settings.patience_seconds
         )
         return CallerApp(
-            Exchanges(services),
+            RequestServer(services),
             limits,
             lambda: self.control.state,
             self.is_ready,
@@ -231,7 +231,7 @@
 
     @_take.register
     async def _(self, message: Digest) -> None:
-        self.entry.note_digest(message)
+        self.entry.apply_digest(message)
 
     def _take_announcement(self, said: Announcement) -> None:
         self._bridge.call(self.pools.announce(said))
@@ -304,7 +304,7 @@
             await asyncio.sleep(_DRAIN_TICK)
 
     def _is_busy(self) -> bool:
-        return bool(self._caller_app.in_progress or self.entry.held)
+        return bool(self._caller_app.in_progress or self.entry.grant_count)
 
     async def _hand_over(self) -> None:
         """Releases this node's pools, so that the next owner need not wait."""
--- a/src/ridgesill/app/quarantine.py
+++ b/src/ridgesill/app/quarantine.py
@@ -85,7 +85,7 @@
         self._follows = asyncio.Event()
         self._checks: set[asyncio.Task[None]] = set()
 
-    def take(self, state: State) -> None:
+    def apply_state(self, state: State) -> None:
         """Takes what the log says."""
         self._suspects = state.suspects
         self._index = state.index
@@ -117,9 +117,9 @@
         if not self._suspects.has_target(target) and not self._own:
             return None
         fingerprint = self._fingerprints.compute(identity)
-        return fingerprint if self.ends(fingerprint) else None
+        return fingerprint if self.ended_upstreams(fingerprint) else None
 
-    def ends(self, fingerprint: Fingerprint) -> set[str]:
+    def ended_upstreams(self, fingerprint: Fingerprint) -> set[str]:
         """Returns the upstreams that ended with a request aboard."""
         own = {
             end.upstream
@@ -130,7 +130,7 @@
 
     def is_quarantined(self, fingerprint: Fingerprint) -> bool:
         """Whether a request gets no upstream."""
-        return len(self.ends(fingerprint)) >= MIN_ENDS_FOR_QUARANTINE
+        return len(self.ended_upstreams(fingerprint)) >= MIN_ENDS_FOR_QUARANTINE
 
     def count(self) -> int:
         """Returns how many requests get no upstream."""
@@ -138,7 +138,7 @@
 
     # -- what requests tell --------------------------------------------
 
-    def note_cut(self, upstream: Upstream, identity: Identity) -> None:
+    def record_cut(self, upstream: Upstream, identity: Identity) -> None:
         """Notes a request whose answer its upstream broke off."""
         if not self._fingerprints.key:
             return
@@ -173,7 +173,7 @@
             self._own.append(end)
             self._untold.set()
 
-    def note_answered(self, local_hash: int) -> None:
+    def record_answered(self, local_hash: int) -> None:
         """Notes a whole answer, which speaks for a request for a while.
 
         Args:
@@ -181,7 +181,7 @@
         """
         self._answered.record(local_hash, self._loop.time())
 
-    def note_served(self, fingerprint: Fingerprint) -> None:
+    def clear_suspect(self, fingerprint: Fingerprint) -> None:
         """Takes back what is held against a request with a whole answer."""
         for end in self._own:
             end.aboard.discard(fingerprint)
--- a/src/ridgesill/app/suspect_request.py
+++ b/src/ridgesill/app/suspect_request.py
@@ -33,7 +33,7 @@
         self._facts = facts
         self._customer = ""
 
-    def note_customer(self, customer: str) -> None:
+    def set_customer(self, customer: str) -> None:
         """Takes whose request it is; it may come from several addresses."""
         self._customer = customer
 
@@ -62,22 +62,22 @@
             "request:quarantined",
             request=self._facts.request,
             fingerprint=suspect.content,
-            ended=sorted(self._quarantine.ends(suspect)),
+            ended=sorted(self._quarantine.ended_upstreams(suspect)),
         )
         return True
 
-    def note_cut(self, upstream: Upstream) -> None:
+    def record_cut(self, upstream: Upstream) -> None:
         """Notes that its upstream broke its answer off."""
-        self._quarantine.note_cut(upstream, self._identity())
+        self._quarantine.record_cut(upstream, self._identity())
 
-    def note_served(self) -> None:
+    def record_served(self) -> None:
         """Takes back what is held against it: it was answered."""
         request = self._request
-        self._quarantine.note_answered(
+        self._quarantine.record_answered(
             hash_locally(
                 request.method, self._facts.host, request.target, request.body
             )
         )
         suspect = self._find()
         if suspect is not None:
-            self._quarantine.note_served(suspect)
+            self._quarantine.clear_suspect(suspect)
--- a/src/ridgesill/app/unknown_words.py
+++ b/src/ridgesill/app/unknown_field_log.py
@@ -11,7 +11,7 @@
 _KEPT_MOST = 10_000
 
 
-class UnknownWords:
+class UnknownFieldLog:
     """Takes words that nothing here reads.
 
     Args:
@@ -22,7 +22,7 @@
         self._telemetry = telemetry
         self._logged = RecentKeys(_KEPT_MOST)
 
-    def note(
+    def record(
         self, upstream: str, peer: str, step: str, words: Collection[str]
     ) -> None:
         """Logs each word of one start of an upstream once.
--- a/src/ridgesill/app/upstream_search.py
+++ b/src/ridgesill/app/upstream_search.py
@@ -50,11 +50,11 @@
 
     Attributes:
         reason: for logs and metrics.
-        after: seconds after which the client may come back.
+        retry_after: seconds after which the client may retry.
     """
 
     reason: str
-    after: float = _COME_BACK
+    retry_after: float = _COME_BACK
     status: int = 503
 
 
@@ -87,13 +87,13 @@
     """
 
     def __init__(self, front: Front, facts: RequestFacts) -> None:
-        self.waited = 0.0
+        self.waited_seconds = 0.0
         # Seconds until the first event that the owner foretold last; 0 without
         # its word.
-        self.foretold = 0.0
+        self.predicted_first_seconds = 0.0
         # Whose choice the upstream was that was found last, for the log.
         self.chosen_by = ""
-        self.draws = LimitDraws(front.limits)
+        self.limit_draws = LimitDraws(front.limits)
         self._front = front
         self._facts = facts
         self._terms = SearchTerms("", 0.0, 0.0, 0.0, 0.0)
@@ -107,12 +107,12 @@
         self._reading_at = ""
         self._read_seconds = 0.0
 
-    def begin(self, terms: SearchTerms) -> None:
+    def set_terms(self, terms: SearchTerms) -> None:
         """Takes what the request's route says."""
         self._terms = terms
-        self.draws.weight = weigh_priority(terms.priority)
+        self.limit_draws.weight = weigh_priority(terms.priority)
 
-    def wanted(self) -> Requirements:
+    def requirements(self) -> Requirements:
         """Returns what the upstream must hold."""
         name = self._terms.service
         service = self._front.table.services.get(name)
@@ -135,24 +135,24 @@
         self._tried = tried
         for _ in range(_MOST_WANTS):
             found = await self._find_once(is_new=is_new)
-            if isinstance(found, Refusal) or self.takes_requests(found.name):
+            if isinstance(found, Refusal) or self.accepts_requests(found.name):
                 return found
             # What it said while the owner was asked counts more than the
             # owner's word, or this front's own of before.
         return self._refuse_unavailable() or Refusal("no_upstream")
 
-    def takes_requests(self, upstream: str) -> bool:
+    def accepts_requests(self, upstream: str) -> bool:
         """Whether an upstream wants this request, by its own word."""
         now = self._loop.time()
         if not self._front.chooser.accepts_requests(upstream, now):
             return False
-        return self.draws.is_allowed(upstream, now)
+        return self.limit_draws.is_allowed(upstream, now)
 
     def _refuse_unavailable(self) -> Refusal | None:
         """Returns a refusal where upstreams say that they take no more."""
         if resting := self._refuse_resting():
             return resting
-        closed = self.draws.list_denied()
+        closed = self.limit_draws.list_denied()
         if not closed:
             return None
         now = self._loop.time()
@@ -177,13 +177,15 @@
             )
             if self._front.chooser.accepts_requests(upstream.name, now)
         ]
-        if not self.draws.are_all_denied(staying, now):
+        if not self.limit_draws.are_all_denied(staying, now):
             return None
         return self._refuse_unavailable()
 
     def _choose(self, wanted: Requirements) -> Upstream | None:
         now = self._loop.time()
-        return self._front.chooser.choose(wanted, self._tried, now, self.draws)
+        return self._front.chooser.choose(
+            wanted, self._tried, now, self.limit_draws
+        )
 
     def _refuse_resting(self) -> Refusal | None:
         """Returns a refusal until the first upstream is back that rests.
@@ -201,9 +203,9 @@
     async def _find_once(self, *, is_new: bool) -> Upstream | Refusal:
         self.chosen_by = "front"
         tried = self._tried
-        wanted = self.wanted()
+        wanted = self.requirements()
         if not tried and not self._are_upstreams_known():
-            await self.learn(self._are_upstreams_known)
+            await self.wait_until_known(self._are_upstreams_known)
         if wanted.artifact and is_new and self._is_refused():
             return Refusal("overload", _OVERLOAD_AFTER)
         if limited := self._refuse_limited():
@@ -224,7 +226,7 @@
             return await self._want(wanted)
         return self._take_answer(wanted, answer) or chosen
 
-    async def learn(self, is_known: Callable[[], bool]) -> None:
+    async def wait_until_known(self, is_known: Callable[[], bool]) -> None:
         """Waits a little until something is known."""
         began = self._loop.time()
         seconds = _LEARN_SECONDS
@@ -232,7 +234,7 @@
             seconds = min(seconds, self._facts.patience * _LEARN_SHARE)
         while not is_known():
             left = began + seconds - self._loop.time()
-            if left <= 0 or not await self._front.learned.within(left):
+            if left <= 0 or not await self._front.discovery_signal.within(left):
                 break
         log_message(
             "request:learned",
@@ -253,7 +255,7 @@
             return False
         front = self._front
         service = self._terms.service
-        share = front.admission(service).refused_share(
+        share = front.admission_control(service).refused_share(
             front.chooser.load(service), self._terms.goal, self._loop.time()
         )
         return front.rng.random() < share
@@ -268,7 +270,7 @@
         avoid = {
             *self._tried,
             *chooser.list_unusable(self._terms.service, now),
-            *self.draws.list_denied(),
+            *self.limit_draws.list_denied(),
         }
         return WantArtifact(
             wanted.service,
@@ -305,11 +307,11 @@
         upstream = view.upstreams.get(answer.upstream)
         if upstream is None or upstream.state != READY:
             return None
-        if not self.takes_requests(upstream.name):
+        if not self.accepts_requests(upstream.name):
             return None
         upstream.resident[wanted.artifact] = answer.version
         self._read_seconds = answer.read_seconds
-        self.foretold = answer.first_seconds
+        self.predicted_first_seconds = answer.first_seconds
         self._reading_at = upstream.name
         self.chosen_by = "owner"
         return upstream
@@ -337,7 +339,7 @@
         terms = self._terms
         left = terms.deadline - self._loop.time() - _ANSWER_SECONDS
         most = min(terms.patience * _LOAD_WAIT_SHARE, _LOAD_WAIT_MOST)
-        return min(left, most - self.waited)
+        return min(left, most - self.waited_seconds)
 
     async def _want_once(
         self, wanted: Requirements, patience: float
@@ -349,7 +351,7 @@
         )
         self._is_asking = False
         took = self._loop.time() - asked_at
-        self.waited += took
+        self.waited_seconds += took
         log_message(
             "request:want",
             request=self._facts.request,
@@ -367,13 +369,13 @@
         """Returns the request's order among those that an engine has yet."""
         if not self._facts.artifact:
             return NORMAL_PRIORITY
-        reading = self._front.reading(self._terms.service)
+        reading = self._front.prefill_rate(self._terms.service)
         seconds = self._read_seconds
         if not self._reading_at or not seconds:
             seconds = reading.estimate_seconds(self._facts.prompt_tokens)
         return rank_request(seconds, self._goal_at() - now)
 
-    def note_reading_ended(
+    def report_reading_ended(
         self,
         *,
         was_read: bool,
--- a/src/ridgesill/app/upstream_words.py
+++ b/src/ridgesill/app/upstream_words.py
@@ -17,7 +17,7 @@
 
 
 @attrs.frozen
-class HeardIn:
+class AnswerContext:
     """In whose answer something was said.
 
     Attributes:
@@ -51,8 +51,8 @@
         self._loop = asyncio.get_running_loop()
         self._telling: dict[str, asyncio.Task[None]] = {}
 
-    def take(
-        self, upstream: Upstream, word: UpstreamWord, heard_in: HeardIn
+    def handle_word(
+        self, upstream: Upstream, word: UpstreamWord, heard_in: AnswerContext
     ) -> None:
         """Takes what an upstream has said in an answer."""
         now = self._loop.time()
@@ -72,7 +72,7 @@
         self,
         upstream: Upstream,
         word: UpstreamWord,
-        heard_in: HeardIn,
+        heard_in: AnswerContext,
         now: float,
     ) -> bool:
         """Takes a limit, or that none is named; returns whether it is news."""
@@ -86,7 +86,7 @@
         return False
 
     def _log(
-        self, upstream: Upstream, word: UpstreamWord, heard_in: HeardIn
+        self, upstream: Upstream, word: UpstreamWord, heard_in: AnswerContext
     ) -> None:
         log_message(
             "request:upstream_word",
@@ -98,7 +98,7 @@
             **attrs.asdict(word),
         )
 
-    def remind(self, upstreams: Iterable[Upstream]) -> None:
+    def resend_leaves(self, upstreams: Iterable[Upstream]) -> None:
         """Tells the owner again of what leaves and it still calls ready.
 
         An owner that has just started may not have heard it.
--- a/src/ridgesill/standin/emulator/callers.py
+++ b/src/ridgesill/standin/emulator/callers.py
@@ -117,7 +117,7 @@
         finally:
             front.in_progress -= 1
         self.outcome.held += self._loop.time() - now
-        self.outcome.offered |= forwarding.was_offered
+        self.outcome.offered |= forwarding.was_sent
         complete = responder.finished and responder.status == _OK
         self.outcome.complete = complete
         return responder
--- a/src/ridgesill/standin/emulator/world.py
+++ b/src/ridgesill/standin/emulator/world.py
@@ -287,7 +287,9 @@
 
 
 def _usage(front: Front) -> UsageReport:
-    return UsageReport(front.take_used(), front.chooser.report_busy())
+    return UsageReport(
+        front.collect_request_counts(), front.chooser.report_busy()
+    )
 
 
 async def _take(owner: FleetOwner, sender: str, message: Any) -> Any:
--- a/testing/app/front_world.py
+++ b/testing/app/front_world.py
@@ -96,7 +96,7 @@
         ]
         await self.send("\r\n".join(lines).encode() + b"\r\n\r\n")
 
-    async def event(self, number: int) -> None:
+    async def send_event(self, number: int) -> None:
         """Sends an event of a stream."""
         data = b"id: %d\ndata: x\n\n" % number
         await self.send(b"%x\r\n%s\r\n" % (len(data), data))
@@ -162,7 +162,7 @@
             self._server.close()
 
 
-class FixedOwner(FleetClient):
+class FakeOwnerClient(FleetClient):
     """An owner that answers every want alike."""
 
     def __init__(self, peers: Any) -> None:
@@ -196,7 +196,7 @@
     """A front and its upstreams."""
 
     def __init__(self) -> None:
-        self.fleet = FixedOwner(None)
+        self.fleet = FakeOwnerClient(None)
         self.front = Front(
             Chooser("a", self.fleet.view, Outcomes(), random.Random(1)),
             self.fleet,
@@ -343,6 +343,6 @@
         await self.send(path, body, **headers)
         return await self.read()
 
-    def leave(self) -> None:
+    def close(self) -> None:
         """Closes the channel."""
         self.writer.close()
--- a/testing/app/test_entry.py
+++ b/testing/app/test_entry.py
@@ -65,13 +65,13 @@
     def grant(self) -> None:
         """Gives the pool an owner."""
         self._apply(GrantPool(_POOL, "n1", "x"))
-        self.entry.note_owners()
+        self.entry.apply_owners()
 
     def release(self) -> None:
         """Has its owner hand it over, as it does when it is restarted."""
         epoch = self._log.state.owners[_POOL].epoch
         self._apply(ReleasePool(_POOL, epoch))
-        self.entry.note_owners()
+        self.entry.apply_owners()
 
     async def admit(self, patience: float = 10.0) -> Any:
         """Asks for a runner."""
--- a/testing/app/test_exchange.py
+++ b/testing/app/test_exchange.py
@@ -8,7 +8,7 @@
 import pytest
 from result import Err, Ok, Result
 
-from ridgesill.app.exchange import Exchanges, Services
+from ridgesill.app.exchange import ExchangeServices, RequestServer
 from ridgesill.core import calls
 from ridgesill.core.calls import Admission, Call, Refusal, Target
 from ridgesill.core.pool.messages import FAILED, FINE
@@ -150,7 +150,7 @@
     def serve(self, **fields: Any) -> Reply:
         """Serves a request."""
         self.entry = FakeEntry(self.admissions, self.retries)
-        services = Services(
+        services = ExchangeServices(
             FakeBridge(),  # type: ignore[arg-type]
             self.entry,  # type: ignore[arg-type]
             None,  # type: ignore[arg-type]
@@ -165,7 +165,7 @@
             repeatable=True,
             streamed=False,
         )
-        return Exchanges(services).serve(attrs.evolve(request, **fields))
+        return RequestServer(services).serve(attrs.evolve(request, **fields))
 
 
 class TestRetries:
--- a/testing/app/test_forwarding.py
+++ b/testing/app/test_forwarding.py
@@ -71,7 +71,7 @@
 async def stream_three(call: Call) -> None:
     await call.begin_stream()
     for number in (1, 2, 3):
-        await call.event(number)
+        await call.send_event(number)
     await call.end_stream()
 
 
@@ -218,7 +218,7 @@
         await client.send("/unsafe/x", b"b")
         await asyncio.sleep(0.1)
         left_at = asyncio.get_running_loop().time()
-        client.leave()
+        client.close()
         await asyncio.sleep(0.4)
         assert 0 < upstream.calls[0].closed_at - left_at < 0.4
         assert world.front.in_progress == 0
@@ -236,7 +236,7 @@
         asking = asyncio.create_task(client.ask("/safe/x"))
         await asyncio.sleep(0.1)
         world.front.table = table
-        world.front.learned.note()
+        world.front.discovery_signal.note()
         assert (await asking).status == 200
 
     async def test_a_request_waits_for_an_upstream(
@@ -246,7 +246,7 @@
         asking = asyncio.create_task(client.ask("/safe/x"))
         await asyncio.sleep(0.1)
         await world.add("u1", answer_ok)
-        world.front.learned.note()
+        world.front.discovery_signal.note()
         assert (await asking).status == 200
 
     async def test_it_is_refused_in_time_to_come_back(
@@ -309,7 +309,7 @@
         world.front.rng = NoChance()
         now = asyncio.get_running_loop().time()
         for _ in range(50):
-            world.front.admission("engine").record_first_event(5.0, now)
+            world.front.admission_control("engine").record_first_event(5.0, now)
         client = await world.open()
         answer = await client.ask("/stream/x", **STREAM)
         assert answer.status == status
@@ -348,9 +348,9 @@
 
         async def slow(call: Call) -> None:
             await call.begin_stream()
-            await call.event(1)
+            await call.send_event(1)
             await released.wait()
-            await call.event(2)
+            await call.send_event(2)
             await call.end_stream()
 
         await world.add("u1", slow, "engine", base__a1=1)
@@ -367,7 +367,7 @@
     ) -> None:
         async def cut(call: Call) -> None:
             await call.begin_stream()
-            await call.event(1)
+            await call.send_event(1)
             call.reset()
 
         await world.add("u1", cut, "engine", base__a1=1)
@@ -381,11 +381,11 @@
         async def cut_or_go_on(call: Call) -> None:
             await call.begin_stream()
             if call.header("last-event-id"):
-                await call.event(int(call.header("last-event-id")) + 1)
+                await call.send_event(int(call.header("last-event-id")) + 1)
                 await call.end_stream()
                 return
-            await call.event(1)
-            await call.event(2)
+            await call.send_event(1)
+            await call.send_event(2)
             await call.send(b"8\r\nid: 3\nda\r\n")
             call.reset()
 
@@ -409,7 +409,7 @@
                 await call.answer(404, b"what stream?")
                 return
             await call.begin_stream()
-            await call.event(1)
+            await call.send_event(1)
             call.reset()
 
         for name in ("u1", "u2"):
@@ -528,7 +528,7 @@
         world.fleet.request_artifact = wait_in_vain  # type: ignore[method-assign]
         await client.send("/stream/x", **STREAM)
         await asyncio.sleep(0.1)
-        client.leave()
+        client.close()
         await asyncio.sleep(0.1)
         assert world.fleet.ended == [ReadingEnded("r1", "", False)]
 
@@ -675,7 +675,7 @@
         asked = asyncio.create_task(client.ask("/safe/x", credential="k2"))
         await asyncio.sleep(0.05)
         name_customers(world, k1=LIMITED, k2=Customer("bob"))
-        world.front.learned.note()
+        world.front.discovery_signal.note()
         assert (await asked).status == 200
 
     async def test_no_key_is_served_once_it_may_have_been_taken_away(
@@ -721,7 +721,7 @@
         await world.add("u1", answer_ok)
         now = asyncio.get_running_loop().time()
         world.front.quotas.apply_news({"alice": RateState(0.0, 9.0)}, 1, now)
-        world.front.learned.note()
+        world.front.discovery_signal.note()
         assert (await asked).status == 429
 
     async def test_what_lies_beyond_the_limit_is_refused_at_once(
--- a/testing/app/test_quarantine.py
+++ b/testing/app/test_quarantine.py
@@ -69,7 +69,7 @@
     ) -> None:
         """Has a front see an upstream break requests off."""
         for identity in identities:
-            front.note_cut(upstream(number), identity)
+            front.record_cut(upstream(number), identity)
         await asyncio.sleep(0.06)
 
     def is_refused(self, front: Quarantine, identity: Identity) -> bool:
@@ -89,7 +89,7 @@
         return address in gone
 
     made = Fronts(log, Quarantine(is_refused), Quarantine(is_refused), gone)
-    log.watchers = [made.first.take, made.second.take]
+    log.watchers = [made.first.apply_state, made.second.apply_state]
     await log.propose(ClearSuspects(()), 1.0)
     tasks = [
         asyncio.create_task(front.run(log.propose))
@@ -164,7 +164,7 @@
             return False
 
         started = Quarantine(is_refused)
-        started.take(State.load(fronts.log.state.dump(with_once=False)))
+        started.apply_state(State.load(fronts.log.state.dump(with_once=False)))
         assert fronts.is_refused(started, HARMFUL)
 
     async def test_there_is_one_key(self, fronts: Fronts) -> None:
@@ -181,7 +181,7 @@
         await fronts.cut(fronts.first, 2, HARMLESS)
         suspect = fronts.second.find_suspect(HARMLESS)
         assert suspect is not None
-        fronts.second.note_served(suspect)
+        fronts.second.clear_suspect(suspect)
         await asyncio.sleep(0.02)
         assert fronts.first.find_suspect(HARMLESS) is None
         await fronts.cut(fronts.first, 3, HARMLESS)
@@ -194,7 +194,7 @@
         # three upstreams ended within a second, and it was refused for a
         # quarter of one, though it had been answered all the time before.
         for number in (1, 2, 3):
-            fronts.first.note_answered(HARMLESS.local_hash())
+            fronts.first.record_answered(HARMLESS.local_hash())
             await fronts.cut(fronts.first, number, HARMFUL, HARMLESS)
         assert not fronts.is_refused(fronts.first, HARMLESS)
         assert fronts.is_refused(fronts.first, HARMFUL)
@@ -204,7 +204,7 @@
     ) -> None:
         # It may end upstreams of a later version.
         monkeypatch.setattr(recent_answers, "_RETENTION_SECONDS", 0.01)
-        fronts.first.note_answered(HARMFUL.local_hash())
+        fronts.first.record_answered(HARMFUL.local_hash())
         await asyncio.sleep(0.02)
         for number in (1, 2, 3):
             await fronts.cut(fronts.first, number, HARMFUL)
@@ -248,7 +248,7 @@
         world = FrontWorld()
         await world.start()
         log = SharedLog()
-        log.watchers.append(world.front.quarantine.take)
+        log.watchers.append(world.front.quarantine.apply_state)
         await log.propose(PutFingerprintKey(b"key"), 1.0)
         client = await world.open()
         for number in range(3):
@@ -289,7 +289,7 @@
 
         await world.add("u1", answer)
         noted: list[int] = []
-        world.front.quarantine.note_answered = noted.append  # type: ignore
+        world.front.quarantine.record_answered = noted.append  # type: ignore
         client = await world.open()
         assert (await client.ask("/unsafe/x", b"b")).status == 200
         assert not noted
--- a/testing/app/test_unknown_words.py
+++ b/testing/app/test_unknown_field_log.py
@@ -2,7 +2,7 @@
 
 import eliot.testing
 
-from ridgesill.app.unknown_words import UnknownWords
+from ridgesill.app.unknown_field_log import UnknownFieldLog
 from ridgesill.ports.telemetry import KeptTelemetry
 from testing.app.front_world import Call, FrontWorld
 
@@ -31,12 +31,12 @@
 class TestUnknownWords:
     def test_each_start_is_logged_once_and_each_word_counted(self) -> None:
         counted = CountedWords()
-        words = UnknownWords(lambda: counted)
+        words = UnknownFieldLog(lambda: counted)
         logger = eliot.MemoryLogger()
         before = eliot.testing.swap_logger(logger)
         try:
             for start in ("u1#1", "u1#1", "u1#2"):
-                words.note(start, "10.0.0.1:80", "answer", ["server-mood"])
+                words.record(start, "10.0.0.1:80", "answer", ["server-mood"])
         finally:
             eliot.testing.swap_logger(before)
         assert logged(logger) == [
--- a/testing/app/test_upstream_words.py
+++ b/testing/app/test_upstream_words.py
@@ -213,11 +213,11 @@
         client = await world.open()
         await client.ask("/unsafe/x", b"b")
         view = world.fleet.view
-        world.front.words.remind(view.upstreams.values())
+        world.front.upstream_words.resend_leaves(view.upstreams.values())
         await asyncio.sleep(0.01)
         assert world.fleet.leaves == 2 * [HeardLeave("u1")]
         leaving = attrs.evolve(view.upstreams["u1"], state=DRAINING)
-        world.front.words.remind([leaving])
+        world.front.upstream_words.resend_leaves([leaving])
         await asyncio.sleep(0.01)
         assert len(world.fleet.leaves) == 2
 
--- a/testing/soak/clients.py
+++ b/testing/soak/clients.py
@@ -144,7 +144,7 @@
 
     def _drop(self) -> None:
         if self._client is not None:
-            self._client.leave()
+            self._client.close()
             self._client = None
 
 
--- a/testing/soak/upstreams.py
+++ b/testing/soak/upstreams.py
@@ -336,7 +336,7 @@
             await made.begin_stream(*self._say(made))
             for number in range(1, _EVENTS + 1):
                 await asyncio.sleep(0.02)
-                await made.event(number)
+                await made.send_event(number)
             await made.end_stream()
         finally:
             self.engine.adapters_in_use.discard(adapter)
--- a/testing/world.py
+++ b/testing/world.py
@@ -175,7 +175,7 @@
 
         async def handle(message: Any) -> Any:
             if isinstance(message, Digest):
-                fake.entry.note_digest(message)
+                fake.entry.apply_digest(message)
                 return None
             return await fake.pools.handle(message)
 
