--- a/src/ridgesill/app/exchange.py
+++ b/src/ridgesill/app/exchange.py
@@ -1,7 +1,7 @@
-"""One caller's request, from its check to the last byte of its answer.
+"""Serves a caller's request, from its check to the last byte of the answer.
 
-All of this runs on the worker thread that owns the caller's socket. Decisions
-are asked for as messages to the event loop.
+This code runs on the worker thread that owns the caller's socket. It calls into
+the event loop, through the bridge, for each decision.
 """
 
 import time
@@ -29,14 +29,23 @@
 )
 from ridgesill.ports.serving import CallerRequest, CutError, Reply
 
-_ATTEMPTS = 4
+_MAX_ATTEMPTS = 4
+# Ends each complete stream; looked for in the last bytes only.
 _DONE_MARK = b"[DONE]"
-_TAIL = 64
+_TAIL_BYTES = 64
 
 
 @attrs.frozen
 class ExchangeServices:
-    """What an exchange needs of its process."""
+    """The parts of the process that an exchange uses.
+
+    Attributes:
+        bridge: calls into the event loop.
+        entry: admits calls.
+        once: keeps the outcomes of requests with idempotency keys.
+        runners: sends requests to runners.
+        metrics: counts and times requests.
+    """
 
     bridge: Bridge
     entry: Entry
@@ -46,7 +55,10 @@
 
 
 class RequestServer:
-    """Implements `ports.serving.Serving`."""
+    """Serves each request in an exchange of its own.
+
+    Implements `ports.serving.Serving`.
+    """
 
     def __init__(self, services: ExchangeServices) -> None:
         self._services = services
@@ -57,7 +69,12 @@
 
 
 class Exchange:
-    """Serves one request."""
+    """Serves one request.
+
+    Args:
+        services: the parts of the process that the exchange uses.
+        request: the caller's request.
+    """
 
     def __init__(
         self, services: ExchangeServices, request: CallerRequest
@@ -65,39 +82,39 @@
         self._services = services
         self._request = request
         self._call = request.call
-        self._began = time.monotonic()
+        self._started_at = time.monotonic()
         self._team = request.call.team
-        self._once: OnceKey | None = None
-        # Whether an attempt may have run: then no later one's refusal makes
-        # the request `not-run`.
+        self._once_key: OnceKey | None = None
+        # Once an attempt may have run, the outcome can't be `not-run` any more,
+        # whatever becomes of later attempts.
         self._may_have_run = False
 
     def serve(self) -> Reply:
-        """Returns the reply; its body may still be arriving."""
+        """Returns the reply; the body of a stream is read as it is sent on."""
         checked = self._services.bridge.call(self._check())
         if isinstance(checked, Err):
             return self._refuse(checked.err_value)
         self._team = checked.ok_value
         if self._request.key:
-            standing = self._begin_once()
-            if standing is not None:
-                return standing
+            earlier_reply = self._check_idempotency()
+            if earlier_reply is not None:
+                return earlier_reply
         return self._attempt()
 
     async def _check(self) -> Result[str, Refusal]:
         checked = self._services.entry.check(self._call)
         return checked.map(lambda target: target.team)
 
-    # -- at most once --------------------------------------------------
+    # -- idempotency keys ----------------------------------------------
 
-    def _begin_once(self) -> Reply | None:
+    def _check_idempotency(self) -> Reply | None:
         request = self._request
         key = OnceKey(
             self._team, request.key, request.digest, self._call.request
         )
         outcome = self._services.bridge.call(self._services.once.begin(key))
         if isinstance(outcome, Ok):
-            self._once = key
+            self._once_key = key
             return None
         if isinstance(outcome.err_value, Refusal):
             return self._refuse(outcome.err_value)
@@ -105,7 +122,7 @@
 
     def _replay(self, record: OnceRecord) -> Reply:
         if record.outcome == commands.COMPLETED and record.status:
-            self._end(calls.COMPLETED)
+            self._record_end(calls.COMPLETED)
             return Reply(
                 record.status,
                 record.content_type,
@@ -121,9 +138,9 @@
             detail = "the first request ran; its answer was too large to keep"
         return self._refuse(Refusal(calls.KEY_UNKNOWN, detail))
 
-    def _finish_once(self, result: OnceResult) -> None:
-        if self._once is not None:
-            key, self._once = self._once, None
+    def _record_once_result(self, result: OnceResult) -> None:
+        if self._once_key is not None:
+            key, self._once_key = self._once_key, None
             once = self._services.once
             self._services.bridge.call(once.finish(key, result))
 
@@ -132,15 +149,15 @@
     def _attempt(self) -> Reply:
         self._services.entry.retries.record_request()
         avoid: tuple[str, ...] = ()
-        for attempt in range(_ATTEMPTS):
-            call = self._numbered(attempt)
+        for attempt in range(_MAX_ATTEMPTS):
+            call = self._make_attempt_call(attempt)
             admit = self._services.entry.admit(call, avoid)
             admitted = self._services.bridge.call(admit)
             if isinstance(admitted, Err):
                 return self._give_up(admitted.err_value)
             admission = admitted.ok_value
             self._observe_admission(admission)
-            outcome = self._send(admission)
+            outcome = self._send_attempt(admission)
             if isinstance(outcome, Ok):
                 return outcome.ok_value
             failure = outcome.err_value
@@ -148,26 +165,34 @@
             avoid = (*avoid, admission.runner)
             if not self._may_retry(failure, attempt):
                 return self._fail(failure, admission)
-        raise AssertionError("the last attempt neither replied nor failed")
+        raise AssertionError(
+            "the last attempt returned neither reply nor failure"
+        )
 
-    def _numbered(self, attempt: int) -> Call:
+    def _make_attempt_call(self, attempt: int) -> Call:
         if not attempt:
             return self._call
         name = f"{self._call.request}.{attempt}"
-        left = self._call.patience - (time.monotonic() - self._began)
-        return attrs.evolve(self._call, request=name, patience=max(left, 0.0))
+        seconds_left = self._call.patience - (
+            time.monotonic() - self._started_at
+        )
+        return attrs.evolve(
+            self._call, request=name, patience=max(seconds_left, 0.0)
+        )
 
     def _may_retry(self, failure: RunnerFailure, attempt: int) -> bool:
-        if attempt + 1 >= _ATTEMPTS:
+        if attempt + 1 >= _MAX_ATTEMPTS:
             return False
         if not failure.not_run and not self._request.repeatable:
             return False
         return failure.absent or self._services.entry.retries.acquire()
 
-    def _send(self, admission: Admission) -> Result[Reply, RunnerFailure]:
+    def _send_attempt(
+        self, admission: Admission
+    ) -> Result[Reply, RunnerFailure]:
         opened = self._services.runners.open(
             admission.address,
-            self._addressed(admission),
+            self._make_runner_request(admission),
             repeatable=self._request.repeatable,
         )
         if isinstance(opened, Err):
@@ -177,11 +202,11 @@
             return Err(failure)
         return self._receive(opened.ok_value, admission)
 
-    def _addressed(self, admission: Admission) -> RunnerRequest:
+    def _make_runner_request(self, admission: Admission) -> RunnerRequest:
         request = self._request.runner_request
         if request.document is None:
             return request
-        # The runner is asked for exactly the version that was admitted.
+        # The adapter is named with the version that was admitted.
         document = {**request.document, "model": admission.adapter}
         return attrs.evolve(request, body=msgspec.json.encode(document))
 
@@ -207,8 +232,8 @@
         response.release()
         self._observe_first_byte()
         self._release(admission, FINE)
-        self._finish_once(_result_of(response, data))
-        self._end(calls.COMPLETED, admission)
+        self._record_once_result(_make_result(response, data))
+        self._record_end(calls.COMPLETED, admission)
         return Ok(self._reply(response, data, admission))
 
     def _reply(
@@ -233,42 +258,47 @@
         first: bytes,
         chunks: Iterator[bytes],
     ) -> Iterator[bytes]:
-        """Yields a stream and ends the request however it ends."""
+        """Yields a stream, and ends the request when the stream ends.
+
+        Raises:
+            CutError: if the runner's stream ends before it is complete.
+        """
         tail = b""
         kept = bytearray()
         outcome = calls.UNKNOWN
         try:
             yield first
-            tail = first[-_TAIL:]
-            self._keep(kept, first)
+            tail = first[-_TAIL_BYTES:]
+            self._keep_body(kept, first)
             for chunk in chunks:
-                tail = (tail + chunk)[-_TAIL:]
-                self._keep(kept, chunk)
+                tail = (tail + chunk)[-_TAIL_BYTES:]
+                self._keep_body(kept, chunk)
                 yield chunk
             if response.status == 200 and _DONE_MARK not in tail:
-                raise CutError("the runner's stream ended early")
+                raise CutError("the runner's stream ended without its end mark")
             outcome = calls.COMPLETED
             response.release()
         except AnswerCutError as error:
             raise CutError(str(error)) from error
         finally:
-            # Also when the caller goes away: the closed connection makes
-            # the runner cancel, and the slot's pin ends.
+            # This runs also when the caller disconnects: closing the
+            # connection makes the runner cancel its work, and the release
+            # ends the pin on the slot.
             if outcome != calls.COMPLETED:
                 response.cancel()
             self._release(admission, FINE)
-            self._finish_once(
+            self._record_once_result(
                 OnceResult(
                     outcome, response.status, response.content_type, bytes(kept)
                 )
             )
-            self._end(outcome, admission)
+            self._record_end(outcome, admission)
 
-    def _keep(self, kept: bytearray, chunk: bytes) -> None:
-        if self._once is not None and len(kept) <= KEPT_BODY_BYTES:
+    def _keep_body(self, kept: bytearray, chunk: bytes) -> None:
+        if self._once_key is not None and len(kept) <= KEPT_BODY_BYTES:
             kept += chunk
 
-    # -- ends ----------------------------------------------------------
+    # -- end of the request --------------------------------------------
 
     def _release(self, admission: Admission, verdict: str) -> None:
         self._services.bridge.post(
@@ -276,35 +306,35 @@
         )
 
     def _give_up(self, refusal: Refusal) -> Reply:
-        self._finish_once(OnceResult(self._unanswered()))
+        self._record_once_result(OnceResult(self._failure_outcome()))
         return self._refuse(refusal)
 
-    def _unanswered(self) -> str:
+    def _failure_outcome(self) -> str:
         return calls.UNKNOWN if self._may_have_run else calls.NOT_RUN
 
     def _fail(self, failure: RunnerFailure, admission: Admission) -> Reply:
-        outcome = self._unanswered()
-        self._finish_once(OnceResult(outcome))
-        self._end(outcome, admission)
+        outcome = self._failure_outcome()
+        self._record_once_result(OnceResult(outcome))
+        self._record_end(outcome, admission)
         detail = f"{failure.step} with {admission.runner}: {failure.detail}"
         after = 0.0 if self._may_have_run else 1.0
         refusal = Refusal("runner-failed", detail, after, admission.team)
         return Reply(502, "", b"", outcome, admission, refusal)
 
     def _refuse(self, refusal: Refusal) -> Reply:
-        outcome = self._unanswered()
+        outcome = self._failure_outcome()
         if refusal.reason == calls.KEY_UNKNOWN:
             outcome = calls.UNKNOWN
-        self._end(outcome, reason=refusal.reason)
+        self._record_end(outcome, reason=refusal.reason)
         return Reply(0, "", b"", outcome, refusal=refusal)
 
-    def _end(
+    def _record_end(
         self,
         outcome: str,
         admission: Admission | None = None,
         reason: str = "",
     ) -> None:
-        seconds = time.monotonic() - self._began
+        seconds = time.monotonic() - self._started_at
         self._services.metrics.observe_end(
             self._team, self._call.priority, outcome, seconds
         )
@@ -330,7 +360,7 @@
         )
 
     def _observe_first_byte(self) -> None:
-        seconds = time.monotonic() - self._began
+        seconds = time.monotonic() - self._started_at
         self._services.metrics.observe_first_byte(
             self._team, self._call.priority, seconds
         )
@@ -349,7 +379,7 @@
         )
 
 
-def _result_of(response: RunnerResponse, data: bytes) -> OnceResult:
+def _make_result(response: RunnerResponse, data: bytes) -> OnceResult:
     return OnceResult(
         calls.COMPLETED, response.status, response.content_type, data
     )
--- a/src/ridgesill/app/forwarding.py
+++ b/src/ridgesill/app/forwarding.py
@@ -1,7 +1,8 @@
-"""One client's request, from its head to the last byte of its answer.
+"""Forwards a client's request to upstreams and returns the answer.
 
-Each request runs as a task of the event loop. A client that leaves cancels
-the task, which closes the upstream's channel and so ends its work.
+Each request runs as a task of the event loop. When the client disconnects, the
+task is cancelled, which closes the channel to the upstream and so ends the work
+there.
 """
 
 import asyncio
@@ -38,54 +39,59 @@
 )
 from ridgesill.ports.telemetry import RequestEnd
 
-# A route's time-out is kept with this much to spare, in seconds.
-_TIMEOUT_MARGIN = 0.02
-# Seconds after which a client that was refused by a stopping front may come
-# back; it meets another front, on a new channel.
-_STOPPING_AFTER = 0.02
-# Channels to an upstream that a front may always have, however many fronts
-# there are: one in use and one for a request that comes meanwhile.
-_CHANNELS_LEAST = 2
-# Channels kept longer than this aren't used for what may not run twice: an
-# upstream may just have closed them. Seconds.
-_FRESH_FOR_UNSAFE = 3.0
-# Seconds after which a client whose request is in quarantine may come back. It
-# stays there until an operator lifts it, so that a client that heeds this has
-# stopped.
-_QUARANTINED_AFTER = 3600.0
-_PROMISES = frozenset((408, 421, 429, 503))
-_QUARANTINED = Refusal("quarantined", _QUARANTINED_AFTER)
+# The front answers this long before a route's time-out, so that its answer is
+# still in time.
+_TIMEOUT_MARGIN_SECONDS = 0.02
+# Retry delay for clients that a stopping front refuses. A retry on a new
+# channel reaches another front.
+_STOPPING_RETRY_SECONDS = 0.02
+# Channels to an upstream that a front may always open, however many fronts
+# share the upstream: one in use and one for a request that arrives meanwhile.
+_MIN_CHANNELS = 2
+# Channels that were idle for longer aren't used for requests that aren't
+# idempotent: the upstream may just have closed them.
+_UNSAFE_IDLE_SECONDS = 3.0
+# Retry delay for requests in quarantine. Only an operator lifts a quarantine,
+# so a client that honours this delay has in practice stopped retrying.
+_QUARANTINE_RETRY_SECONDS = 3600.0
+# Statuses that tell a client that its request has not run.
+_NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
+_QUARANTINE_REFUSAL = Refusal("quarantined", _QUARANTINE_RETRY_SECONDS)
 _OK = 200
 _REDIRECT = 300
 _SERVER_ERROR = 500
-# How long a key that isn't known waits for a configuration that may just have
-# brought it, in seconds: nearly all fronts know a change by then.
-_KEY_LEARN_SECONDS = 0.3
-# Seconds after which a caller whose key can't be relied on here may come back;
-# it meets another front, on a new channel.
-_STALE_AFTER = 0.5
+# How long a request with an unknown key waits for a newer configuration that
+# may contain the key. Nearly all fronts have a change within this time.
+_KEY_WAIT_SECONDS = 0.3
+# Retry delay for callers whose keys can't be checked because the configuration
+# here is stale. A retry on a new channel reaches another front.
+_STALE_RETRY_SECONDS = 0.5
 _CALLER_REFUSALS = {
     UNKNOWN_KEY: Refusal(UNKNOWN_KEY, 0.0, 401),
-    STALE: Refusal("stale", _STALE_AFTER),
+    STALE: Refusal("stale", _STALE_RETRY_SECONDS),
 }
 
 
 class _WithheldError(Exception):
-    """A request was not sent, since its upstream wants none now."""
+    """The request was not sent: its upstream accepts no requests now."""
 
 
 @attrs.frozen
 class Failure:
-    """An attempt that gave no answer to deliver.
+    """An attempt that produced no answer to deliver.
 
     Attributes:
-        not_run: whether the request certainly did not run there.
-        answer: the upstream's own answer, whole, if there was one.
-        misdirected: whether the upstream lacks what was asked for.
-        arrived: whether the request reached the upstream.
-        cut: whether its channel ended before the answer did.
-        withheld: whether it was kept back, since the upstream wants none.
-        rests: whether the upstream asked for rest, or for fewer requests.
+        reason: for logs and metrics.
+        not_run: whether the request certainly did not run at the upstream.
+        answer: the upstream's complete answer, if there was one.
+        misdirected: whether the upstream lacks the artifact or version that
+            the request needs.
+        reached_upstream: whether the request reached the upstream.
+        cut: whether the channel closed before the answer was complete.
+        withheld: whether the request was not sent because the upstream accepts
+            none now.
+        asked_for_rest: whether the upstream asked for a pause in requests, or
+            for fewer requests.
     """
 
     reason: str
@@ -99,9 +105,10 @@
 
     @property
     def counts_against_health(self) -> bool:
-        """Whether it says that the upstream serves badly.
+        """Whether the failure shows that the upstream is unhealthy.
 
-        One that lacks something, or asks for rest, gets what it asks for.
+        An upstream that lacks an artifact, or that asks for fewer requests, is
+        not ejected for that.
         """
         return not (self.misdirected or self.withheld or self.asked_for_rest)
 
@@ -109,7 +116,7 @@
 async def serve_request(
     front: Front, request: HttpRequest, responder: Responder
 ) -> None:
-    """Serves a client's request."""
+    """Serves a client's request and counts it while it is in progress."""
     front.in_progress += 1
     try:
         await Forwarding(front, request, responder).run()
@@ -118,7 +125,13 @@
 
 
 class Forwarding:
-    """Serves one request."""
+    """Serves one request: checks it, sends it to upstreams and answers it.
+
+    Args:
+        front: the state that all requests of the front share.
+        request: as the client sent it.
+        responder: sends the answer to the client.
+    """
 
     def __init__(
         self, front: Front, request: HttpRequest, responder: Responder
@@ -137,24 +150,24 @@
         self._goal_at = 0.0
         self._tried: list[str] = []
         self._may_have_run = False
-        # Whether its answer has said so.
-        self._has_not_run = False
-        self._first_at = 0.0
+        # Whether the client was told that the request has not run.
+        self._was_answered_not_run = False
+        self._first_event_at = 0.0
         self._sent_at = 0.0
-        self._asked = ""
+        self._last_upstream = ""
         self._splitter: EventSplitter | None = None
 
     @property
     def was_sent(self) -> bool:
-        """Whether the request has reached an upstream."""
+        """Whether an attempt to send the request to an upstream has begun."""
         return bool(self._sent_at)
 
-    # -- the whole -----------------------------------------------------
+    # -- course of a request -------------------------------------------
 
     async def run(self) -> None:
-        """Answers the request, whatever becomes of it."""
-        if not self._knows_enough():
-            await self._search.wait_until_known(self._knows_enough)
+        """Serves the request; answers, aborts or refuses it in every case."""
+        if not self._can_decide():
+            await self._search.wait_until_known(self._can_decide)
         route = self._find_route()
         if route is None:
             return
@@ -163,53 +176,61 @@
         if isinstance(caller, Err):
             self._refuse(_CALLER_REFUSALS[caller.err_value])
             return
-        self._note_customer(caller.ok_value)
-        self._begin(route)
+        self._set_customer(caller.ok_value)
+        self._apply_route(route)
         if self._may_outlast_front():
-            self._refuse(Refusal("stopping", _STOPPING_AFTER))
+            self._refuse(Refusal("stopping", _STOPPING_RETRY_SECONDS))
             return
         if self._suspect.is_quarantined():
-            self._refuse(_QUARANTINED)
+            self._refuse(_QUARANTINE_REFUSAL)
             return
-        if self._is_beyond_quota():
+        if self._exceeds_quota():
             after = self._front.quotas.retry_after_seconds()
             self._refuse(Refusal("beyond_quota", after, 429))
             return
         self._deadline = min(self._deadline, self._front.stops_at)
         try:
             async with asyncio.timeout_at(self._deadline):
-                await self._attempt(route)
+                await self._run_attempts(route)
         except TimeoutError:
             self._search.abandon()
             self._time_out()
         except asyncio.CancelledError:
             self._search.abandon()
-            self._end("client_left")
+            self._record_end("client_left")
             raise
         finally:
             self._search.limit_draws.release()
-            if self._has_not_run or not self.was_sent:
-                self._give_quota_back()
+            if self._was_answered_not_run or not self.was_sent:
+                self._refund_quota()
 
-    def _knows_enough(self) -> bool:
-        """Whether this front can tell routes, callers and limits at all."""
+    def _can_decide(self) -> bool:
+        """Whether this front can check routes, keys and quotas."""
         table = self._front.table
         if not table.version or table.customers is None:
             return bool(table.version)
         if table.customers.quotas and not self._front.fleet.view.epoch:
-            # Without any news it would go by its own part of each limit.
+            # Before the owner's first news, the front would admit its own share
+            # of each quota, whatever the customer has used elsewhere.
             return False
-        knowledge = self._front.configuration_freshness(self._loop.time())
-        return not (knowledge.is_stale and knowledge.is_missing)
+        freshness = self._front.configuration_freshness(self._loop.time())
+        return not (freshness.is_stale and freshness.is_missing)
 
     async def _find_caller(self, route: Route) -> Result[Customer | None, str]:
-        """Returns whose request it is, or why it can't be served."""
-        deadline = self._loop.time() + _KEY_LEARN_SECONDS
+        """Returns the customer of the request, or why it can't be served.
+
+        A request with an unknown key waits up to `_KEY_WAIT_SECONDS` for a
+        newer configuration.
+        """
+        deadline = self._loop.time() + _KEY_WAIT_SECONDS
         version = self._front.table.version
         caller = self._check_caller(route)
         while caller == Err(UNKNOWN_KEY) and self._facts.key_digest:
-            left = deadline - self._loop.time()
-            if left <= 0 or not await self._front.discovery_signal.within(left):
+            seconds_left = deadline - self._loop.time()
+            if (
+                seconds_left <= 0
+                or not await self._front.discovery_signal.within(seconds_left)
+            ):
                 break
             if self._front.table.version != version:
                 caller = self._check_caller(route)
@@ -223,21 +244,22 @@
             self._front.configuration_freshness(self._loop.time()),
         )
 
-    def _note_customer(self, customer: Customer | None) -> None:
+    def _set_customer(self, customer: Customer | None) -> None:
         self._customer = customer
         if customer is not None:
             self._suspect.set_customer(customer.name)
 
-    def _is_beyond_quota(self) -> bool:
+    def _exceeds_quota(self) -> bool:
         if self._customer is None:
             return False
         customer = self._customer
         if customer.quota is None:
             return False
         now = self._loop.time()
-        cost = customer.quota.cost(self._tokens())
+        cost = customer.quota.cost(self._quota_tokens())
         quotas = self._front.quotas
-        # The customer's own priority is the same for all of its requests.
+        # Only the route's priority counts: the customer's own priority is the
+        # same for all of its requests.
         weight = weigh_priority(self._route.priority if self._route else 0)
         if quotas.admit(customer.name, customer.quota, cost, now, weight):
             return False
@@ -250,16 +272,16 @@
         )
         return True
 
-    def _give_quota_back(self) -> None:
+    def _refund_quota(self) -> None:
         customer = self._customer
         if customer is not None and customer.quota is not None:
-            cost = customer.quota.cost(self._tokens())
+            cost = customer.quota.cost(self._quota_tokens())
             use = RateUse(cost, cost)
             now = self._loop.time()
             self._front.quotas.refund(customer.name, use, now)
 
-    def _tokens(self) -> int:
-        """Returns the tokens that count towards a limit."""
+    def _quota_tokens(self) -> int:
+        """Returns the tokens that count towards the customer's quota."""
         return self._facts.prompt_tokens + self._facts.answer_tokens
 
     def _find_route(self) -> Route | None:
@@ -272,11 +294,11 @@
             self._refuse(Refusal("no_route", 0.0, 404))
         return route
 
-    def _begin(self, route: Route) -> None:
+    def _apply_route(self, route: Route) -> None:
         seconds = route.timeout
         if self._facts.patience:
             seconds = min(seconds, self._facts.patience)
-        margin = min(_TIMEOUT_MARGIN, seconds / 4)
+        margin = min(_TIMEOUT_MARGIN_SECONDS, seconds / 4)
         self._deadline = self._request.arrived_at + seconds - margin
         self._goal_at = self._request.arrived_at + route.goal
         self._service = route.choose_target(self._front.rng.random())
@@ -297,16 +319,16 @@
             self._splitter = EventSplitter(self._facts.last_event)
 
     def _may_outlast_front(self) -> bool:
-        """Whether this front may stop before the request has its answer.
+        """Whether this front may stop before the request is answered.
 
-        One that comes late in a stop, on a channel that its client has kept,
-        would be sent on and cut.
+        A request that arrives late in a stop, on a channel that its client has
+        kept open, would be forwarded and then cut.
         """
         front = self._front
         now = self._loop.time()
         return now >= front.refuses_from and self._deadline > front.stops_at
 
-    async def _attempt(self, route: Route) -> None:
+    async def _run_attempts(self, route: Route) -> None:
         failure: Failure | None = None
         while True:
             upstream = await self._search.find(
@@ -314,19 +336,20 @@
             )
             if isinstance(upstream, Refusal):
                 if failure is not None and failure.answer is not None:
-                    # Nobody else could do better than this answer.
+                    # No other upstream is left, so this answer is delivered.
                     self._fail(failure)
                 else:
                     self._give_up(upstream)
                 return
             if self._suspect.is_quarantined():
-                # Since it came, others were cut by the ends of upstreams.
-                self._give_up(_QUARANTINED)
+                # It was quarantined since it arrived: more upstreams ended
+                # while they served it.
+                self._give_up(_QUARANTINE_REFUSAL)
                 return
             failure = await self._send(route, upstream)
             if failure is None:
                 return
-            self._note_failure(upstream, failure)
+            self._record_failure(upstream, failure)
             if not self._may_retry(route, failure):
                 self._fail(failure)
                 return
@@ -334,33 +357,37 @@
     # -- one attempt ---------------------------------------------------
 
     async def _send(self, route: Route, upstream: Upstream) -> Failure | None:
-        """Returns None once the answer is delivered."""
+        """Sends the request to an upstream and delivers the answer.
+
+        Returns:
+            Why there was no answer to deliver; None if it was delivered.
+        """
         chooser = self._front.chooser
         artifact = self._facts.artifact
         chooser.record_start(upstream.name, artifact)
         self._sent_at = self._loop.time()
         self._search.limit_draws.record_sent(upstream.name, self._sent_at)
         chooser.outcomes.record_sent(upstream.name, self._sent_at)
-        self._asked = upstream.name
+        self._last_upstream = upstream.name
         exchange: Exchange | None = None
         failure: Failure | None = None
         try:
             exchange = await self._open(route, upstream)
             self._tried.append(upstream.name)
             head = await exchange.read_head()
-            rests = self._take_word(upstream, head)
+            asks_for_rest = self._handle_word(upstream, head)
             chooser.outcomes.record_byte(upstream.name, self._loop.time())
-            failure = await self._take(route, upstream, exchange, head)
-            if failure is not None and rests:
+            failure = await self._receive(route, upstream, exchange, head)
+            if failure is not None and asks_for_rest:
                 failure = attrs.evolve(failure, asked_for_rest=True)
         except _WithheldError as error:
-            self._note_not_sent(upstream)
+            self._revert_sent(upstream)
             failure = Failure(
                 str(error), True, reached_upstream=False, withheld=True
             )
         except ChannelError as error:
             if not error.sent:
-                self._note_not_sent(upstream)
+                self._revert_sent(upstream)
                 self._tried.append(upstream.name)
             failure = Failure(
                 str(error),
@@ -369,22 +396,22 @@
                 cut=error.sent,
             )
         finally:
-            self._tell_reading_ended(failure)
+            self._report_reading_ended(failure)
             chooser.record_end(upstream.name, artifact)
             chooser.outcomes.record_end(upstream.name)
             if exchange is not None:
                 exchange.cancel()
         return failure
 
-    def _note_not_sent(self, upstream: Upstream) -> None:
+    def _revert_sent(self, upstream: Upstream) -> None:
         now = self._loop.time()
         self._search.limit_draws.revert_sent(upstream.name, now)
 
-    def _take_word(self, upstream: Upstream, head: ResponseHead) -> bool:
-        """Notes what an upstream says of itself beside its answer.
+    def _handle_word(self, upstream: Upstream, head: ResponseHead) -> bool:
+        """Handles what an upstream states about itself in its headers.
 
         Returns:
-            Whether it asks for rest, or for fewer requests.
+            Whether it asks for a pause in requests, or for fewer requests.
         """
         dialect = self._front.dialect
         unknown = dialect.find_unknown(head)
@@ -395,28 +422,37 @@
         word = dialect.read_word(head)
         if word == NO_WORD and not self._front.limits.known:
             return False
-        heard_in = AnswerContext(
+        context = AnswerContext(
             self._facts.request,
             head.status,
             self._search.chosen_by,
             self._sent_at,
         )
-        self._front.upstream_words.handle_word(upstream, word, heard_in)
+        self._front.upstream_words.handle_word(upstream, word, context)
         return bool(word.rest) or word.limit is not None
 
-    def _tell_reading_ended(self, failure: Failure | None) -> None:
-        """Tells the owner of a prompt that has had no first event."""
-        arrived = failure is None or failure.reached_upstream
+    def _report_reading_ended(self, failure: Failure | None) -> None:
+        """Reports to the owner that the prompt has ended without an event.
+
+        Does nothing if its first event was reported before.
+        """
+        reached_upstream = failure is None or failure.reached_upstream
         self._search.report_reading_ended(
             was_read=False,
-            # An engine that says that it did not run a request is well.
+            # An engine that answers that it did not run a request is healthy.
             failed=failure is not None
             and not failure.withheld
-            and not (arrived and failure.not_run),
-            unreachable=not arrived,
+            and not (reached_upstream and failure.not_run),
+            unreachable=not reached_upstream,
         )
 
     async def _open(self, route: Route, upstream: Upstream) -> Exchange:
+        """Sends the request on a channel to the upstream.
+
+        Raises:
+            _WithheldError: if the upstream accepts no requests any more.
+            ChannelError: if no channel could be opened or used.
+        """
         front = self._front
         last_event = self._facts.last_event
         if self._splitter is not None:
@@ -431,33 +467,35 @@
             self._customer.name if self._customer else "",
         )
         forwarded = front.dialect.forward(self._request, terms)
-        fresh = 60.0 if route.is_idempotent else _FRESH_FOR_UNSAFE
+        max_idle_seconds = 60.0 if route.is_idempotent else _UNSAFE_IDLE_SECONDS
         channel = await front.channels.take(
             upstream.address,
-            fresh_within=fresh,
-            most=self._channels_most(),
+            fresh_within=max_idle_seconds,
+            most=self._max_channels(),
         )
         if not self._search.accepts_requests(upstream.name):
-            # Another answer has said so while the channel came up.
+            # The answer to another request said so while this one waited for
+            # the channel.
             front.channels.put_back(channel)
             raise _WithheldError(f"{upstream.name} wants no requests now")
         return front.channels.begin(channel, forwarded)
 
-    def _channels_most(self) -> int:
-        """Returns this front's share of the channels that an upstream takes."""
+    def _max_channels(self) -> int:
+        """Returns this front's share of an upstream's channels; 0 for any."""
         service = self._front.table.services.get(self._service)
         if service is None or not service.connections:
             return 0
         share = service.connections // self._front.fleet.view.fronts
-        return max(share, _CHANNELS_LEAST)
+        return max(share, _MIN_CHANNELS)
 
-    async def _take(
+    async def _receive(
         self,
         route: Route,
         upstream: Upstream,
         exchange: Exchange,
         head: ResponseHead,
     ) -> Failure | None:
+        """Delivers an upstream's answer, or returns why it isn't delivered."""
         dialect = self._front.dialect
         if dialect.is_not_run(head):
             await exchange.read_rest()
@@ -466,11 +504,12 @@
                 True,
                 misdirected=dialect.is_misdirected(head),
             )
-        if head.status >= _SERVER_ERROR or _promises(head):
+        if head.status >= _SERVER_ERROR or _claims_not_run(head):
             body = await exchange.read_rest()
             return Failure(f"status {head.status}", False, (head, body))
         if self._responder.started and head.status != _OK:
-            # A stream that goes on elsewhere must not end in a refusal's body.
+            # The body of a refusal must not be appended to a stream that
+            # another upstream has begun.
             await exchange.read_rest()
             return Failure(f"status {head.status} on resuming", False)
         if route.kind == STREAM:
@@ -478,13 +517,13 @@
         else:
             body = await exchange.read_rest()
             self._deliver(head, body)
-        self._note_served(upstream, head)
+        self._record_served(upstream, head)
         return None
 
     async def _relay(
         self, upstream: Upstream, exchange: Exchange, head: ResponseHead
     ) -> None:
-        """Passes a stream on, event by event where it may be resumed."""
+        """Passes a stream on; in whole events if the route may resume it."""
         responder = self._responder
         if not responder.started:
             responder.send_head(
@@ -502,18 +541,18 @@
                 data = splitter.feed(data)
             if data:
                 self._search.report_reading_ended(was_read=True)
-                self._note_first()
+                self._record_first_event()
                 responder.send_data(data)
                 await responder.drain()
         if splitter is not None and splitter.partial:
             responder.send_data(splitter.partial)
         responder.finish()
 
-    def _note_first(self) -> None:
-        """Notes the first event of the answer."""
-        if self._first_at:
+    def _record_first_event(self) -> None:
+        """Records the time until the first event, once."""
+        if self._first_event_at:
             return
-        now = self._first_at = self._loop.time()
+        now = self._first_event_at = self._loop.time()
         took = now - self._sent_at
         self._front.admission_control(self._service).record_first_event(
             took, now
@@ -536,18 +575,20 @@
 
     # -- what became of an attempt -------------------------------------
 
-    def _note_served(self, upstream: Upstream, head: ResponseHead) -> None:
+    def _record_served(self, upstream: Upstream, head: ResponseHead) -> None:
         now = self._loop.time()
         self._front.chooser.outcomes.record_success(upstream.name, now)
         if not head.tells_its_end:
-            # It may be the end of the upstream that looks like the answer's.
+            # Without a length, the end of the answer can't be told from the
+            # end of the upstream.
             self._suspect.record_cut(upstream)
         elif head.status < _REDIRECT:
-            # A failure doesn't show that the upstream has begun it.
+            # Other statuses don't show that the upstream ran the request, so
+            # that they don't clear it of suspicion.
             self._suspect.record_served()
-        self._end("served", upstream.name, status=head.status)
+        self._record_end("served", upstream.name, status=head.status)
 
-    def _note_failure(self, upstream: Upstream, failure: Failure) -> None:
+    def _record_failure(self, upstream: Upstream, failure: Failure) -> None:
         self._may_have_run |= not failure.not_run
         now = self._loop.time()
         ejected = False
@@ -569,12 +610,17 @@
             self._suspect.record_cut(upstream)
 
     def _may_retry(self, route: Route, failure: Failure) -> bool:
+        """Whether the request may go to another upstream.
+
+        True also acquires a retry from the service's budget, unless nothing
+        has reached the upstream.
+        """
         if not failure.not_run and not route.is_idempotent:
             return False
         if self._responder.started and not route.resumable:
             return False
         if not failure.reached_upstream:
-            # Nothing reached the upstream, so this draws on no budget.
+            # Nothing reached the upstream, so the retry uses no budget.
             return len(self._tried) < 2 * route.attempts + 1
         if not failure.not_run and len(self._tried) >= route.attempts:
             return False
@@ -589,50 +635,54 @@
     def _give_up(self, refusal: Refusal) -> None:
         if self._responder.started:
             self._responder.abort()
-            self._end("cut", reason=refusal.reason)
+            self._record_end("cut", reason=refusal.reason)
         elif self._may_have_run:
             self._answer(502, 0.0)
-            self._end("unknown", reason=refusal.reason)
+            self._record_end("unknown", reason=refusal.reason)
         else:
             self._refuse(refusal)
 
     def _fail(self, failure: Failure) -> None:
         if self._responder.started:
             self._responder.abort()
-            self._end("cut", reason=failure.reason)
-        elif failure.answer is not None and not _promises(failure.answer[0]):
+            self._record_end("cut", reason=failure.reason)
+        elif failure.answer is not None and not _claims_not_run(
+            failure.answer[0]
+        ):
             self._deliver(*failure.answer)
-            self._end("failed", reason=failure.reason)
+            self._record_end("failed", reason=failure.reason)
         elif self._may_have_run:
             self._answer(502, 0.0)
-            self._end("unknown", reason=failure.reason)
+            self._record_end("unknown", reason=failure.reason)
         else:
             self._refuse(Refusal(failure.reason))
 
     def _time_out(self) -> None:
-        if self._asked and not self._first_at:
+        if self._last_upstream and not self._first_event_at:
             now = self._loop.time()
-            self._front.chooser.outcomes.record_failure(self._asked, now)
+            self._front.chooser.outcomes.record_failure(
+                self._last_upstream, now
+            )
         if self._responder.started:
             self._responder.abort()
-            self._end("cut", reason="timeout")
+            self._record_end("cut", reason="timeout")
         elif self._may_have_run or self._tried:
             self._answer(504, 0.0)
-            self._end("unknown", reason="timeout")
+            self._record_end("unknown", reason="timeout")
         else:
             self._refuse(Refusal("timeout"))
 
     def _refuse(self, refusal: Refusal) -> None:
-        self._has_not_run = True
+        self._was_answered_not_run = True
         self._answer(refusal.status, refusal.retry_after)
-        self._end("refused", reason=refusal.reason)
+        self._record_end("refused", reason=refusal.reason)
 
     def _answer(self, status: int, after: float) -> None:
         headers = self._front.dialect.retry_headers(after) if after else ()
         self._responder.send_head(status, (*headers, (b"content-length", b"0")))
         self._responder.finish()
 
-    def _end(
+    def _record_end(
         self,
         outcome: str,
         upstream: str = "",
@@ -641,14 +691,18 @@
     ) -> None:
         arrived_at = self._request.arrived_at
         seconds = self._loop.time() - arrived_at
-        first = self._first_at - arrived_at if self._first_at else seconds
+        first = (
+            self._first_event_at - arrived_at
+            if self._first_event_at
+            else seconds
+        )
         route = self._route
         self._front.telemetry.note_end(
             RequestEnd(
                 route.kind if route else "",
                 self._priority(),
                 outcome,
-                _bounded(reason),
+                _reason_label(reason),
                 seconds,
                 first,
                 self._search.waited_seconds,
@@ -694,11 +748,14 @@
         return customers.label(self._customer)
 
 
-def _promises(head: ResponseHead) -> bool:
-    """Whether a status says "not run", which is untrue once it has run."""
-    return head.status in _PROMISES
+def _claims_not_run(head: ResponseHead) -> bool:
+    """Whether a status tells the client that its request has not run.
+
+    Such an answer must not be passed on once the request may have run.
+    """
+    return head.status in _NOT_RUN_STATUSES
 
 
-def _bounded(reason: str) -> str:
-    """Returns a reason without what differs from request to request."""
+def _reason_label(reason: str) -> str:
+    """Returns the constant part of a reason, as a label for metrics."""
     return reason.partition(" ")[0].partition(":")[0]
--- a/src/ridgesill/app/front.py
+++ b/src/ridgesill/app/front.py
@@ -1,4 +1,4 @@
-"""What the requests of a front share."""
+"""State that all requests of a front share."""
 
 import random
 
@@ -23,17 +23,19 @@
 
 
 class Front:
-    """What the requests of a front share.
+    """Holds the state that all requests of a front share.
 
     Args:
-        chooser: the choice of an upstream.
-        fleet: the link to the owner.
-        channels: to upstreams.
-        dialect: how clients and upstreams speak.
-        bounds: of retries.
-        freshness: of the configuration here.
-        revocation: seconds from which a key may have been taken away unheard.
-        name: of this front, for operators.
+        chooser: chooses upstreams.
+        fleet: the connection to the owner.
+        channels: pools the connections to upstreams.
+        dialect: translates requests and answers.
+        bounds: bounds of the retry budgets.
+        freshness: age of the configuration in this process; never stale if
+            omitted.
+        revocation: age of the configuration, in seconds, from which keys may
+            have been revoked without this front knowing.
+        name: name of this front, for operators.
     """
 
     def __init__(
@@ -64,21 +66,26 @@
         self.request_counts: dict[str, int] = {}
         self.telemetry: Telemetry = KeptTelemetry()
         self.unknown_field_log = UnknownFieldLog(lambda: self.telemetry)
-        # Noted when routes or upstreams become known.
+        # Signals that routes or upstreams have become known or have changed.
         self.discovery_signal = ChangeSignal()
-        # From when requests that may outlast this process are refused, and
-        # when it cuts what is left, on the loop's clock.
+        # While the process stops, on the loop's clock: from the first time on,
+        # requests that may outlast the process are refused; at the second one,
+        # the remaining requests are cut.
         self.refuses_from = float("inf")
         self.stops_at = float("inf")
         self._bounds = bounds
         self._freshness = freshness or Freshness(float("inf"))
         self._revocation = revocation
         self._retries: dict[str, ServiceRetries] = {}
-        self._admissions: dict[str, AdmissionControl] = {}
-        self._readings: dict[str, PrefillRate] = {}
+        self._admission_controls: dict[str, AdmissionControl] = {}
+        self._prefill_rates: dict[str, PrefillRate] = {}
 
     def configuration_freshness(self, now: float) -> ConfigurationFreshness:
-        """Returns how sure this front is of its configuration."""
+        """Returns how far this front may rely on its configuration.
+
+        Args:
+            now: the loop's clock, in seconds.
+        """
         return ConfigurationFreshness(
             self._freshness.age(now), self._revocation
         )
@@ -91,24 +98,24 @@
         return budget
 
     def admission_control(self, service: str) -> AdmissionControl:
-        """Returns the measure of how long a service's engines take."""
-        return self._admissions.setdefault(service, AdmissionControl())
+        """Returns the admission control of a service."""
+        return self._admission_controls.setdefault(service, AdmissionControl())
 
     def prefill_rate(self, service: str) -> PrefillRate:
-        """Returns the measure of how fast a service's engines read."""
-        return self._readings.setdefault(service, PrefillRate())
+        """Returns the measured prefill rate of a service's engines."""
+        return self._prefill_rates.setdefault(service, PrefillRate())
 
     def collect_sent(self) -> Sent:
-        """Returns what was sent under rates since the last call."""
+        """Returns the use of quotas and rate limits since the last call."""
         since = min(self.quotas.used_since, self.limits.rates.used_since)
         uses = self.quotas.collect_uses()
         return Sent(uses, self.limits.rates.collect_uses(), since)
 
     def record_request(self, artifact: str) -> None:
-        """Counts a request for an artifact, to be told the owner."""
+        """Counts a request for an artifact until the next usage report."""
         self.request_counts[artifact] = self.request_counts.get(artifact, 0) + 1
 
     def collect_request_counts(self) -> dict[str, int]:
-        """Returns the requests by artifact since the last call."""
-        used, self.request_counts = self.request_counts, {}
-        return used
+        """Returns the number of requests by artifact since the last call."""
+        counts, self.request_counts = self.request_counts, {}
+        return counts
--- a/src/ridgesill/app/front_process.py
+++ b/src/ridgesill/app/front_process.py
@@ -1,4 +1,4 @@
-"""The process on a VM that clients reach: takes and forwards requests."""
+"""The front process of a VM, which accepts and forwards clients' requests."""
 
 import asyncio
 import functools
@@ -33,33 +33,35 @@
 from ridgesill.ports.http import HttpRequest, Responder
 from ridgesill.ports.telemetry import Telemetry
 
-# A front that has had no news for this long calls itself not ready, in seconds:
-# it can't have adapters loaded, and others may. An owner without news answers
-# each 0.5 s, and elections that all fronts wait for change nothing, since the
-# balancer uses all fronts of a data centre when few are ready.
-_OUT_OF_TOUCH_SECONDS = 1.5
-# How often channels that rested for too long are closed, in seconds; upstreams
-# let them rest for some.
-_SWEEP_SECONDS = 1.0
-# After SIGTERM, until the balancer has surely stopped sending new channels:
-# it asks once a second and believes the second answer.
+# A front without news from the owner for this long reports itself as not ready:
+# it can't have adapters loaded, while other fronts may. The owner answers each
+# 0.5 s even without news. During an election all fronts become unready, which
+# has no effect: while few fronts of a data centre are ready, the balancer uses
+# all of them.
+_MAX_NEWS_AGE_SECONDS = 1.5
+# How often idle channels to upstreams are closed, which upstreams close
+# themselves after some seconds, and how often expired entries are pruned.
+_PRUNE_INTERVAL_SECONDS = 1.0
+# Time after SIGTERM until the balancer sends no new channels: it checks
+# readiness once a second and acts on the second negative answer.
 _NOTICE_SECONDS = 3.0
-# From then on, after SIGTERM, requests that may outlast the process are
-# refused; a little before the notice ends, for what is on its way. Seconds.
-_SERVES_SECONDS = 2.8
-# Share of the time within which a key that was taken away must be refused, for
-# which a front without word of the log goes on serving callers with keys.
+# Time after SIGTERM from which requests that may outlast the process are
+# refused. It is a little shorter than the notice, to include requests that are
+# under way then.
+_REFUSE_AFTER_SECONDS = 2.8
+# A front that receives nothing from the log serves callers with keys for this
+# share of the time within which a revoked key must be refused.
 _REVOCATION_SHARE = 0.9
-# Kept back from the time until SIGKILL, in seconds.
-_GRACE_MARGIN = 0.7
-_DRAIN_TICK = 0.05
+# The process stops this long before it would be sent SIGKILL.
+_GRACE_MARGIN_SECONDS = 0.7
+_DRAIN_POLL_SECONDS = 0.05
 
 
 class FrontProcess:
-    """All of a front.
+    """Connects and runs all parts of a front.
 
     Args:
-        settings: what the platform says.
+        settings: the platform's settings for this process.
     """
 
     def __init__(self, settings: PlatformSettings) -> None:
@@ -73,12 +75,12 @@
         self._peers = PeerLinks(node.identity)
         self.control = make_control(settings, node, self._peers)
         self._peers.traffic.is_far = self.control.is_far
-        self.control.add_listener(self._note_state)
+        self.control.add_listener(self._apply_state)
         self.fleet = FleetClient(
             self._peers,
             self.control.leader_address,
             settings.peers,
-            self._usage,
+            self._make_usage_report,
             settings.seeds,
             self._relay_address,
         )
@@ -96,13 +98,15 @@
             settings.vm,
         )
         self.fleet.add_listener(self.front.discovery_signal.note)
-        self.fleet.add_listener(self._note_news)
-        self._callers = HttpListener(
+        self.fleet.add_listener(self._apply_fleet_news)
+        self._client_listener = HttpListener(
             settings.callers, functools.partial(serve_request, self.front)
         )
-        self._readiness = HttpListener(settings.readiness, self._tell_ready)
+        self._readiness_listener = HttpListener(
+            settings.readiness, self._answer_readiness
+        )
 
-    def _note_news(self) -> None:
+    def _apply_fleet_news(self) -> None:
         self.front.chooser.update_means(self._loop.time())
         view = self.fleet.view
         if view.knows_uses:
@@ -113,7 +117,7 @@
             self.front.quotas.update_front_count(view.fronts)
         self.front.limits.apply_news(view)
 
-    def _usage(self) -> UsageReport:
+    def _make_usage_report(self) -> UsageReport:
         chooser = self.front.chooser
         now = self._loop.time()
         resting = chooser.unavailable.list_resting(now)
@@ -126,7 +130,10 @@
         )
 
     def _relay_address(self) -> str:
-        """Returns the node to ask for the owner's news; empty for the owner."""
+        """Returns the address of the relay of the owner's news.
+
+        Empty if the news are read from the owner itself.
+        """
         leader = self.control.leader_name()
         if not self._relays or any(n.name == leader for n in self._relays):
             return ""
@@ -134,7 +141,7 @@
 
     # -- configuration -------------------------------------------------
 
-    def _note_state(self) -> None:
+    def _apply_state(self) -> None:
         state = self.control.state
         self._relays = find_relays(self._node, state.nodes.values())
         self.front.versions = state.artifact_versions
@@ -145,7 +152,7 @@
         self.front.table = table
         self.front.discovery_signal.note()
         if table.limits is not None:
-            self._callers.limits = table.limits
+            self._client_listener.limits = table.limits
         log_message(
             "front:configuration", version=table.version, index=state.index
         )
@@ -155,24 +162,24 @@
     def is_ready(self) -> bool:
         """Whether the balancer should send new clients here."""
         view = self.fleet.view
-        is_in_touch = (
-            self._loop.time() - view.updated_at < _OUT_OF_TOUCH_SECONDS
+        has_recent_news = (
+            self._loop.time() - view.updated_at < _MAX_NEWS_AGE_SECONDS
         )
         return bool(
             self.front.table.version
             and view.epoch
-            and is_in_touch
+            and has_recent_news
             and not self._draining
             and not self._is_stale()
         )
 
     def _is_stale(self) -> bool:
-        """Whether callers with keys get nothing here."""
+        """Whether the configuration is too old to serve callers with keys."""
         if self.front.table.customers is None:
             return False
         return self.front.configuration_freshness(self._loop.time()).is_stale
 
-    async def _tell_ready(
+    async def _answer_readiness(
         self, request: HttpRequest, responder: Responder
     ) -> None:
         status = 404
@@ -184,16 +191,16 @@
     # -- running -------------------------------------------------------
 
     async def run(self) -> None:
-        """Runs until SIGTERM."""
+        """Runs until SIGTERM or SIGINT, and then drains."""
         self._loop.add_signal_handler(signal.SIGTERM, self._drain)
         self._loop.add_signal_handler(signal.SIGINT, self._drain)
         self._loop.add_signal_handler(signal.SIGHUP, self._reload)
-        await self._callers.start()
-        await self._readiness.start()
-        works = (
+        await self._client_listener.start()
+        await self._readiness_listener.start()
+        coroutines = (
             self.control.follow(),
             self.fleet.run(),
-            self._sweep(),
+            self._prune_regularly(),
             self.front.quarantine.run(self.control.propose),
             serve_metrics(
                 self._settings.metrics,
@@ -202,7 +209,7 @@
             ),
             tell_traffic(self._peers.traffic),
         )
-        tasks = [self._loop.create_task(work) for work in works]
+        tasks = [self._loop.create_task(coroutine) for coroutine in coroutines]
         log_message(
             "front:started",
             vm=self._settings.vm,
@@ -217,13 +224,13 @@
             if task.done() and task.exception() is not None:
                 raise task.exception()  # type: ignore[misc]
             task.cancel()
-        await self._callers.stop()
-        await self._readiness.stop()
+        await self._client_listener.stop()
+        await self._readiness_listener.stop()
         log_message("front:stopped", vm=self._settings.vm)
 
-    async def _sweep(self) -> None:
+    async def _prune_regularly(self) -> None:
         while True:
-            await asyncio.sleep(_SWEEP_SECONDS)
+            await asyncio.sleep(_PRUNE_INTERVAL_SECONDS)
             self.front.channels.sweep()
             known = set(self.fleet.view.upstreams)
             self.front.chooser.outcomes.discard_except(known)
@@ -235,8 +242,8 @@
             )
 
     def _swap_telemetry(self, telemetry: Telemetry) -> Telemetry:
-        before, self.front.telemetry = self.front.telemetry, telemetry
-        return before
+        previous, self.front.telemetry = self.front.telemetry, telemetry
+        return previous
 
     def _gauges(self) -> dict[str, Callable[[], float]]:
         view = self.fleet.view
@@ -259,37 +266,46 @@
             return
         self._draining = True
         log_message("front:draining", in_progress=self.front.in_progress)
-        self._drain_task = self._loop.create_task(self._finish_work())
+        self._drain_task = self._loop.create_task(self._finish_requests())
 
-    async def _finish_work(self) -> None:
+    async def _finish_requests(self) -> None:
         began = self._loop.time()
-        deadline = began + self._settings.bounds.grace - _GRACE_MARGIN
-        self.front.refuses_from = began + _SERVES_SECONDS
+        deadline = began + self._settings.bounds.grace - _GRACE_MARGIN_SECONDS
+        self.front.refuses_from = began + _REFUSE_AFTER_SECONDS
         self.front.stops_at = deadline
-        self._callers.drain()
+        self._client_listener.drain()
         await asyncio.sleep(_NOTICE_SECONDS)
-        # It goes on listening: while fewer than half of a data centre's fronts
-        # are ready the balancer sends clients to all of them, and a refusal
-        # with when to come back serves them better than a channel that doesn't
-        # come up.
-        for connection in list(self._callers.connections):
+        # The listener stays open: while fewer than half of a data centre's
+        # fronts are ready, the balancer sends clients to all of them, and a
+        # refusal with a retry delay serves clients better than a refused
+        # connection.
+        for connection in list(self._client_listener.connections):
             connection.close_if_idle()
-        # By the channels, not by what is in progress: a request that has just
-        # been read isn't counted yet, and is sent on in the next moment.
+        # Waits for the channels to close, not for the count of requests in
+        # progress: a request that has just been read isn't counted yet and will
+        # be forwarded.
         await self._wait_for_channels(deadline)
-        # Who comes between that and the end would be cut: a request that an
-        # upstream had run was. One accepted in the last moment shows a little
-        # later.
-        self._callers.close()
-        await asyncio.sleep(_DRAIN_TICK)
+        # A client that connected between this point and the end of the process
+        # would be cut, possibly after an upstream ran its request. The listener
+        # is closed first, and a connection that was accepted just before shows
+        # up within a poll interval.
+        self._client_listener.close()
+        await asyncio.sleep(_DRAIN_POLL_SECONDS)
         await self._wait_for_channels(deadline)
         self._stopping.set()
 
     async def _wait_for_channels(self, deadline: float) -> None:
-        """Waits until no client's channel is open, or until a deadline."""
-        while self._callers.connections and self._loop.time() < deadline:
-            await asyncio.sleep(_DRAIN_TICK)
+        """Waits until all client channels are closed, or until a deadline.
+
+        Args:
+            deadline: on the loop's clock, in seconds.
+        """
+        while (
+            self._client_listener.connections and self._loop.time() < deadline
+        ):
+            await asyncio.sleep(_DRAIN_POLL_SECONDS)
 
     def _reload(self) -> None:
-        # What may change at run time is the list of seeds.
+        # Only the list of seeds may change while the process runs, and it isn't
+        # read again.
         log_message("front:reloaded")
--- a/src/ridgesill/app/quarantine.py
+++ b/src/ridgesill/app/quarantine.py
@@ -1,4 +1,7 @@
-"""A front's part in finding the requests that end their upstreams."""
+"""Detects and refuses requests that end the upstreams that serve them.
+
+All fronts share their observations through the replicated log.
+"""
 
 import asyncio
 import collections
@@ -30,25 +33,27 @@
 Propose = Callable[[Any, float], Awaitable[Any]]
 IsRefused = Callable[[str], Awaitable[bool]]
 
-# After the first request that an upstream cut, until it is looked at: all
-# channels to one that ends close within a few milliseconds. Seconds.
-_GATHER_SECONDS = 0.03
-# How long a proposal looks for a leader before that is logged, in seconds.
-_PROPOSE_SECONDS = 2.0
+# Time from the first request that an upstream cut until the upstream is probed.
+# All channels to an upstream that ends close within a few milliseconds.
+_PROBE_DELAY_SECONDS = 0.03
+# How long a proposal waits for a leader before that is logged and retried.
+_PROPOSE_TIMEOUT_SECONDS = 2.0
 _KEY_BYTES = 16
-# Up to how long a front that follows the log waits for another one to draw the
-# key, in seconds: all fronts of a new fleet start at once.
-_DRAW_SECONDS = 3.0
-# What this front has to say and nobody has heard yet; more isn't kept.
-_UNTOLD_MOST = 512
+# A front waits a random time, up to this, for another front to generate the
+# key: all fronts of a new fleet start at once.
+_MAX_KEY_DELAY_SECONDS = 3.0
+# Ends kept until they are in the log; the oldest are dropped beyond this.
+_MAX_UNREPORTED = 512
 
 
 @attrs.define(eq=False)
-class _End:
-    """An upstream that ended, as this front saw it.
+class _UpstreamEnd:
+    """An upstream that ended, as this front observed it.
 
     Attributes:
-        index: in the log, once it is there.
+        upstream: name of the upstream.
+        aboard: the requests that it served when it ended.
+        index: of the report in the log; 0 until it is there.
     """
 
     upstream: str
@@ -57,111 +62,121 @@
 
 
 class Quarantine:
-    """Refuses requests that were aboard of several upstreams that ended.
+    """Refuses requests that several upstreams served when they ended.
 
-    What this front has seen counts here at once, and everywhere once the log
-    has it; so it counts while nobody leads, and outlasts every process.
+    An end that this front observes counts here at once, so also while the log
+    has no leader. It counts at all fronts, and survives restarts, once it is in
+    the log.
 
     Args:
-        is_refused: returns whether an upstream's address refuses channels.
+        is_refused: returns whether an address refuses connections.
     """
 
     def __init__(self, is_refused: IsRefused) -> None:
         self._is_refused = is_refused
         self._fingerprints = Fingerprinter()
-        self._answered = RecentAnswers()
+        self._recent_answers = RecentAnswers()
         self._loop = asyncio.get_running_loop()
         self._suspects = Suspects()
         self._index = 0
-        # Upstreams that cut requests and haven't been looked at yet, by name.
-        self._doubted: dict[str, _End] = {}
-        # Ends that the state here doesn't have yet.
-        self._own: collections.deque[_End] = collections.deque(
-            maxlen=_UNTOLD_MOST
+        # Upstreams that cut requests and haven't been probed yet, by name.
+        self._unprobed_ends: dict[str, _UpstreamEnd] = {}
+        # Ends observed here that aren't in the replicated state yet.
+        self._unreported_ends: collections.deque[_UpstreamEnd] = (
+            collections.deque(maxlen=_MAX_UNREPORTED)
         )
-        self._served: set[Fingerprint] = set()
-        self._untold = asyncio.Event()
-        # Whether the log is followed, so that a leader is known.
-        self._follows = asyncio.Event()
-        self._checks: set[asyncio.Task[None]] = set()
+        self._cleared: set[Fingerprint] = set()
+        self._reports_pending = asyncio.Event()
+        # Set once this front follows the log, so that a leader is known.
+        self._following = asyncio.Event()
+        self._probes: set[asyncio.Task[None]] = set()
 
     def apply_state(self, state: State) -> None:
-        """Takes what the log says."""
+        """Applies the suspects and the fingerprint key of the state."""
         self._suspects = state.suspects
         self._index = state.index
         if state.index:
-            self._follows.set()
+            self._following.set()
         if self._fingerprints.key != state.fingerprint_key:
             self._fingerprints = Fingerprinter(state.fingerprint_key)
-        self._drop_told()
+        self._discard_reported()
 
-    def _drop_told(self) -> None:
-        """Forgets ends of this front's own that the state has by now."""
-        for end in list(self._own):
+    def _discard_reported(self) -> None:
+        """Discards the ends observed here that are now in the state."""
+        for end in list(self._unreported_ends):
             if end.index and end.index <= self._index:
-                self._own.remove(end)
+                self._unreported_ends.remove(end)
 
-    # -- what is refused -----------------------------------------------
+    # -- checks --------------------------------------------------------
 
     def has_suspects(self) -> bool:
-        """Whether anything is held against any request."""
-        return bool(self._suspects) or bool(self._own)
+        """Whether any request is suspected."""
+        return bool(self._suspects) or bool(self._unreported_ends)
 
     def find_suspect(self, identity: Identity) -> Fingerprint | None:
-        """Returns a request's fingerprint if anything is held against it.
+        """Returns a request's fingerprint if the request is a suspect.
 
         The hash of a whole request, which costs time on the data path, is
-        taken only where one with the same path is a suspect.
+        computed only if a request with the same target is a suspect.
         """
         target = self._fingerprints.hash_target(identity.target)
-        if not self._suspects.has_target(target) and not self._own:
+        if not self._suspects.has_target(target) and not self._unreported_ends:
             return None
         fingerprint = self._fingerprints.compute(identity)
         return fingerprint if self.ended_upstreams(fingerprint) else None
 
     def ended_upstreams(self, fingerprint: Fingerprint) -> set[str]:
-        """Returns the upstreams that ended with a request aboard."""
-        own = {
+        """Returns the upstreams that ended while they served a request."""
+        observed = {
             end.upstream
-            for end in self._own
+            for end in self._unreported_ends
             if any(f.content == fingerprint.content for f in end.aboard)
         }
-        return own.union(self._suspects.ended_upstreams(fingerprint))
+        return observed.union(self._suspects.ended_upstreams(fingerprint))
 
     def is_quarantined(self, fingerprint: Fingerprint) -> bool:
-        """Whether a request gets no upstream."""
+        """Whether a request is refused because too many upstreams ended."""
         return len(self.ended_upstreams(fingerprint)) >= MIN_ENDS_FOR_QUARANTINE
 
     def count(self) -> int:
-        """Returns how many requests get no upstream."""
+        """Returns the number of requests in quarantine."""
         return len(self._suspects.quarantined())
 
-    # -- what requests tell --------------------------------------------
+    # -- observations --------------------------------------------------
 
     def record_cut(self, upstream: Upstream, identity: Identity) -> None:
-        """Notes a request whose answer its upstream broke off."""
+        """Records a request whose channel ended before its answer did.
+
+        Args:
+            upstream: that served the request.
+            identity: of the request.
+        """
         if not self._fingerprints.key:
             return
-        if self._answered.is_answered(identity.local_hash(), self._loop.time()):
+        if self._recent_answers.is_answered(
+            identity.local_hash(), self._loop.time()
+        ):
             return
         fingerprint = self._fingerprints.compute(identity)
-        end = self._doubted.get(upstream.name)
+        end = self._unprobed_ends.get(upstream.name)
         if end is None:
-            end = self._doubted[upstream.name] = _End(upstream.name)
-            check = asyncio.create_task(self._check(upstream, end))
-            self._checks.add(check)
-            check.add_done_callback(self._checks.discard)
+            end = self._unprobed_ends[upstream.name] = _UpstreamEnd(
+                upstream.name
+            )
+            probe = asyncio.create_task(self._probe(upstream, end))
+            self._probes.add(probe)
+            probe.add_done_callback(self._probes.discard)
         end.aboard.add(fingerprint)
 
-    async def _check(self, upstream: Upstream, end: _End) -> None:
-        """Counts an end if the upstream is gone as a whole.
+    async def _probe(self, upstream: Upstream, end: _UpstreamEnd) -> None:
+        """Counts an end if the upstream's address refuses connections.
 
-        One that only broke an answer off, or was cut off itself, still takes
-        channels, or says nothing.
+        An upstream that only cut an answer still accepts connections, and one
+        that is partitioned from this front doesn't respond at all.
         """
-        await asyncio.sleep(_GATHER_SECONDS)
+        await asyncio.sleep(_PROBE_DELAY_SECONDS)
         is_gone = await self._is_refused(upstream.address)
-        del self._doubted[upstream.name]
+        del self._unprobed_ends[upstream.name]
         log_message(
             "upstream:cut_requests",
             upstream=upstream.name,
@@ -170,50 +185,56 @@
             requests=sorted(f.content for f in end.aboard),
         )
         if is_gone:
-            self._own.append(end)
-            self._untold.set()
+            self._unreported_ends.append(end)
+            self._reports_pending.set()
 
     def record_answered(self, local_hash: int) -> None:
-        """Notes a whole answer, which speaks for a request for a while.
+        """Records a complete answer.
+
+        For a while, its request isn't suspected when an upstream ends.
 
         Args:
-            local_hash: of the request, as `Identity` takes it.
+            local_hash: of the request, as `Identity.local_hash` returns it.
         """
-        self._answered.record(local_hash, self._loop.time())
+        self._recent_answers.record(local_hash, self._loop.time())
 
     def clear_suspect(self, fingerprint: Fingerprint) -> None:
-        """Takes back what is held against a request with a whole answer."""
-        for end in self._own:
+        """Clears a request of suspicion because it has a complete answer."""
+        for end in self._unreported_ends:
             end.aboard.discard(fingerprint)
-        self._served.add(fingerprint)
-        self._untold.set()
+        self._cleared.add(fingerprint)
+        self._reports_pending.set()
 
-    # -- telling the log -----------------------------------------------
+    # -- reports to the log --------------------------------------------
 
     async def run(self, propose: Propose) -> None:
-        """Tells the log what this front has seen, until cancelled."""
-        await self._follows.wait()
-        await asyncio.sleep(random.uniform(0.0, _DRAW_SECONDS))
+        """Reports this front's observations to the log, until cancelled.
+
+        Args:
+            propose: proposes a command within a time-out, in seconds.
+        """
+        await self._following.wait()
+        await asyncio.sleep(random.uniform(0.0, _MAX_KEY_DELAY_SECONDS))
         if not self._fingerprints.key:
             key = secrets.token_bytes(_KEY_BYTES)
-            await self._tell(propose, PutFingerprintKey(key))
+            await self._report(propose, PutFingerprintKey(key))
         while True:
-            await self._untold.wait()
-            self._untold.clear()
-            for end in [end for end in self._own if not end.index]:
-                noted = NoteUpstreamEnd(end.upstream, tuple(end.aboard))
-                end.index = await self._tell(propose, noted)
-                self._drop_told()
-            served, self._served = self._served, set()
-            if served:
-                cleared = ClearSuspects(tuple(served))
-                await self._tell(propose, cleared)
-
-    async def _tell(self, propose: Propose, command: Any) -> int:
-        """Returns the index in the log, however long that takes."""
+            await self._reports_pending.wait()
+            self._reports_pending.clear()
+            for end in [end for end in self._unreported_ends if not end.index]:
+                note_end = NoteUpstreamEnd(end.upstream, tuple(end.aboard))
+                end.index = await self._report(propose, note_end)
+                self._discard_reported()
+            cleared, self._cleared = self._cleared, set()
+            if cleared:
+                clear = ClearSuspects(tuple(cleared))
+                await self._report(propose, clear)
+
+    async def _report(self, propose: Propose, command: Any) -> int:
+        """Proposes a command until it is in the log, and returns its index."""
         while True:
             try:
-                done: Done = await propose(command, _PROPOSE_SECONDS)
+                done: Done = await propose(command, _PROPOSE_TIMEOUT_SECONDS)
             except UnavailableError as error:
                 log_message("quarantine:not_told", detail=str(error))
             else:
--- a/src/ridgesill/app/suspect_request.py
+++ b/src/ridgesill/app/suspect_request.py
@@ -1,4 +1,4 @@
-"""One request, and what is held against it and its repetitions."""
+"""Checks one request against the quarantine and reports its outcome."""
 
 from eliot import log_message
 
@@ -14,15 +14,15 @@
 
 
 class SuspectRequest:
-    """Looks a request up, and tells what becomes of it.
+    """Checks one request against the quarantine and reports its outcome.
 
-    The hash that all fronts share is taken only where it can matter: most days
-    nothing is held against any request.
+    The fingerprint that all fronts share is computed only while there are
+    suspects, which is rare.
 
     Args:
-        quarantine: the front's.
-        request: as its client sent it.
-        facts: what the client says of it.
+        quarantine: the quarantine of the front.
+        request: as the client sent it.
+        facts: what the client states about the request.
     """
 
     def __init__(
@@ -34,7 +34,10 @@
         self._customer = ""
 
     def set_customer(self, customer: str) -> None:
-        """Takes whose request it is; it may come from several addresses."""
+        """Sets the customer, who identifies the caller instead of its address.
+
+        A customer may send the same request from several addresses.
+        """
         self._customer = customer
 
     def _identity(self) -> Identity:
@@ -48,14 +51,14 @@
             request.body,
         )
 
-    def _find(self) -> Fingerprint | None:
+    def _find_suspect(self) -> Fingerprint | None:
         if not self._quarantine.has_suspects():
             return None
         return self._quarantine.find_suspect(self._identity())
 
     def is_quarantined(self) -> bool:
-        """Whether too many upstreams have ended under it."""
-        suspect = self._find()
+        """Whether too many upstreams ended while they served the request."""
+        suspect = self._find_suspect()
         if suspect is None or not self._quarantine.is_quarantined(suspect):
             return False
         log_message(
@@ -67,17 +70,17 @@
         return True
 
     def record_cut(self, upstream: Upstream) -> None:
-        """Notes that its upstream broke its answer off."""
+        """Records that the upstream's channel ended before the answer did."""
         self._quarantine.record_cut(upstream, self._identity())
 
     def record_served(self) -> None:
-        """Takes back what is held against it: it was answered."""
+        """Records that the request was answered, which clears it."""
         request = self._request
         self._quarantine.record_answered(
             hash_locally(
                 request.method, self._facts.host, request.target, request.body
             )
         )
-        suspect = self._find()
+        suspect = self._find_suspect()
         if suspect is not None:
             self._quarantine.clear_suspect(suspect)
--- a/src/ridgesill/app/unknown_field_log.py
+++ b/src/ridgesill/app/unknown_field_log.py
@@ -1,4 +1,4 @@
-"""Logs and counts what upstreams say and nothing here reads."""
+"""Logs and counts header and field names that ridgesill doesn't read."""
 
 from collections.abc import Callable, Collection
 
@@ -7,31 +7,32 @@
 from ridgesill.core.recent_keys import RecentKeys
 from ridgesill.ports.telemetry import Telemetry
 
-# Words remembered as logged; a new start of an upstream says them anew.
-_KEPT_MOST = 10_000
+# Names that are remembered as logged. Each incarnation of an upstream is logged
+# anew, so that their number isn't bounded otherwise.
+_MAX_LOGGED = 10_000
 
 
 class UnknownFieldLog:
-    """Takes words that nothing here reads.
+    """Logs unknown names in upstreams' messages once, and counts each use.
 
     Args:
-        telemetry: returns what counts words.
+        telemetry: returns the telemetry in use at the time of the call.
     """
 
     def __init__(self, telemetry: Callable[[], Telemetry]) -> None:
         self._telemetry = telemetry
-        self._logged = RecentKeys(_KEPT_MOST)
+        self._logged = RecentKeys(_MAX_LOGGED)
 
     def record(
         self, upstream: str, peer: str, step: str, words: Collection[str]
     ) -> None:
-        """Logs each word of one start of an upstream once.
+        """Counts unknown names and logs those that weren't logged before.
 
         Args:
-            upstream: name of its start.
-            peer: its address.
-            step: in what it said them.
-            words: that nothing reads.
+            upstream: name of the upstream's incarnation.
+            peer: address of the upstream.
+            step: kind of the message, such as "answer".
+            words: the unknown names.
         """
         for word in words:
             self._telemetry().note_unknown_word(word)
--- a/src/ridgesill/app/upstream_search.py
+++ b/src/ridgesill/app/upstream_search.py
@@ -1,4 +1,4 @@
-"""How one request finds the upstream that it goes to."""
+"""Finds the upstream for a request, with the owner's help if necessary."""
 
 import asyncio
 import math
@@ -22,51 +22,55 @@
 from ridgesill.core.serving.rates import weigh_priority
 from ridgesill.ports.dialect import NORMAL_PRIORITY, RequestFacts
 
-# Seconds after which a refused client may come back, unless more is known.
-_COME_BACK = 0.5
-# A want for an artifact leaves this much of the time for the answer, seconds.
-_ANSWER_SECONDS = 0.3
-# Seconds after which a client that was refused for overload may come back; most
-# bursts and losses are over after a few.
-_OVERLOAD_AFTER = 1.0
-# A front that has just started, or whose fleet's owner has, soon learns the
-# routes and the upstreams: upstreams are heard at least each 1.2 s. A request
-# waits for that no longer than this, in seconds, and no longer than this share
-# of its time; most clients that are refused have no second attempt left then.
-_LEARN_SECONDS = 1.0
-_LEARN_SHARE = 0.3
-# A request waits no longer than this for a load, in seconds: clients give a
-# stream up after two seconds without an event at the least.
-_LOAD_WAIT_MOST = 1.8
-# Nor longer than this share of its time: a client that is refused comes back
-# once, and should learn before half of its time is gone that it is in vain.
+# Retry delay for refused clients, unless a better one is known.
+_RETRY_SECONDS = 0.5
+# A request that waits for an artifact keeps this much of its time for the
+# answer.
+_ANSWER_RESERVE_SECONDS = 0.3
+# Retry delay for clients that are refused for overload. Most bursts, and most
+# losses of upstreams, are over after a few seconds.
+_OVERLOAD_RETRY_SECONDS = 1.0
+# After a start of this front or of the fleet's owner, the routes and upstreams
+# become known soon: upstreams send heartbeats at least each 1.2 s. A request
+# waits for that up to this time, and up to this share of the client's patience:
+# after a longer wait, most refused clients have no time for another attempt.
+_DISCOVERY_SECONDS = 1.0
+_DISCOVERY_SHARE = 0.3
+# A request waits up to this long for an artifact to be loaded: the least
+# patient clients abandon a stream after two seconds without an event.
+_MAX_LOAD_WAIT_SECONDS = 1.8
+# It also waits only up to this share of its time: a refused client retries
+# once, and should know before half of its time has passed that both failed.
 _LOAD_WAIT_SHARE = 0.22
-_MOST_WANTS = 3
+# Loads that the owner is asked for on behalf of one request.
+_MAX_WANTS = 3
 
 
 @attrs.frozen
 class Refusal:
-    """Why a request has not run and will not.
+    """Why a request is refused without having run.
 
     Attributes:
         reason: for logs and metrics.
-        retry_after: seconds after which the client may retry.
+        retry_after: seconds after which the client may retry; 0 to name none.
+        status: HTTP status of the answer.
     """
 
     reason: str
-    retry_after: float = _COME_BACK
+    retry_after: float = _RETRY_SECONDS
     status: int = 503
 
 
 @attrs.frozen
 class SearchTerms:
-    """What a request asks of its upstream, once its route is known.
+    """Constraints on the search, from the route and the client.
 
     Attributes:
-        goal: seconds from its arrival within which its answer is in time.
-        arrived_at: when it arrived, on the loop's clock.
-        patience: seconds that it may take in all.
-        deadline: when its time is over, on the loop's clock.
+        service: the service that the request goes to.
+        goal: seconds from the arrival until the answer is late.
+        arrived_at: when the request arrived, on the loop's clock.
+        patience: seconds that the request may take in total.
+        deadline: when the request times out, on the loop's clock.
         priority: 0 goes first.
     """
 
@@ -79,19 +83,22 @@
 
 
 class UpstreamSearch:
-    """Finds upstreams for one request, and tells the owner of its prompt.
+    """Finds upstreams for one request, and reports its prompt to the owner.
+
+    The owner of the fleet assigns prompts to engines and has artifacts loaded.
 
     Args:
-        front: what all requests share.
-        facts: what the client says of the request.
+        front: the state that all requests of the front share.
+        facts: what the client states about the request.
     """
 
     def __init__(self, front: Front, facts: RequestFacts) -> None:
         self.waited_seconds = 0.0
-        # Seconds until the first event that the owner foretold last; 0 without
-        # its word.
+        # Seconds until the first event, as the owner last predicted; 0 without
+        # a prediction.
         self.predicted_first_seconds = 0.0
-        # Whose choice the upstream was that was found last, for the log.
+        # Who chose the upstream that was found last, for the log: "front" or
+        # "owner".
         self.chosen_by = ""
         self.limit_draws = LimitDraws(front.limits)
         self._front = front
@@ -99,21 +106,22 @@
         self._terms = SearchTerms("", 0.0, 0.0, 0.0, 0.0)
         self._loop = asyncio.get_running_loop()
         self._tried: Collection[str] = ()
-        self._wants = 0
-        # Whether the owner is being asked; it may count the prompt already.
-        self._is_asking = False
-        # Where the owner counts this prompt as not yet read, and how long the
-        # reading takes there as far as it knows.
-        self._reading_at = ""
-        self._read_seconds = 0.0
+        self._want_count = 0
+        # Whether a call to the owner is outstanding; the owner may count the
+        # prompt already.
+        self._is_call_pending = False
+        # The engine at which the owner counts this prompt as not yet
+        # prefilled, and the owner's estimate of the prefill, in seconds.
+        self._assigned_engine = ""
+        self._prefill_seconds = 0.0
 
     def set_terms(self, terms: SearchTerms) -> None:
-        """Takes what the request's route says."""
+        """Sets the constraints, once the request's route is known."""
         self._terms = terms
         self.limit_draws.weight = weigh_priority(terms.priority)
 
     def requirements(self) -> Requirements:
-        """Returns what the upstream must hold."""
+        """Returns the service, artifact and version that the upstream needs."""
         name = self._terms.service
         service = self._front.table.services.get(name)
         if service is None or service.engine is None:
@@ -126,114 +134,121 @@
     async def find(
         self, tried: Collection[str], *, is_new: bool
     ) -> Upstream | Refusal:
-        """Returns the upstream that the request should go to next.
+        """Returns the next upstream for the request, or why there is none.
 
         Args:
-            tried: upstreams that it has gone to.
-            is_new: whether nothing of its answer has been sent.
+            tried: upstreams that the request has been sent to.
+            is_new: whether no part of the answer has been sent to the client.
         """
         self._tried = tried
-        for _ in range(_MOST_WANTS):
-            found = await self._find_once(is_new=is_new)
+        for _ in range(_MAX_WANTS):
+            found = await self._find_candidate(is_new=is_new)
             if isinstance(found, Refusal) or self.accepts_requests(found.name):
                 return found
-            # What it said while the owner was asked counts more than the
-            # owner's word, or this front's own of before.
-        return self._refuse_unavailable() or Refusal("no_upstream")
+            # The upstream stated meanwhile that it accepts no requests; that
+            # overrides the owner's choice and this front's earlier one.
+        return self._refuse_if_unavailable() or Refusal("no_upstream")
 
     def accepts_requests(self, upstream: str) -> bool:
-        """Whether an upstream wants this request, by its own word."""
+        """Whether an upstream accepts this request, by its own word."""
         now = self._loop.time()
         if not self._front.chooser.accepts_requests(upstream, now):
             return False
         return self.limit_draws.is_allowed(upstream, now)
 
-    def _refuse_unavailable(self) -> Refusal | None:
-        """Returns a refusal where upstreams say that they take no more."""
-        if resting := self._refuse_resting():
-            return resting
-        closed = self.limit_draws.list_denied()
-        if not closed:
+    def _refuse_if_unavailable(self) -> Refusal | None:
+        """Returns a refusal if all upstreams rest or any limit refused it."""
+        if resting_refusal := self._refuse_if_resting():
+            return resting_refusal
+        denied = self.limit_draws.list_denied()
+        if not denied:
             return None
         now = self._loop.time()
         limits = self._front.limits
         log_message(
             "request:limited",
             request=self._facts.request,
-            limits={name: limits.allowed_rate(name, now) for name in closed},
-            **limits.rates.describe_decision(closed[0], now),
+            limits={name: limits.allowed_rate(name, now) for name in denied},
+            **limits.rates.describe_decision(denied[0], now),
         )
         return Refusal("limited", limits.rates.retry_after_seconds())
 
-    def _refuse_limited(self) -> Refusal | None:
-        """Returns a refusal where the limits of all upstreams are used up."""
+    def _refuse_if_limited(self) -> Refusal | None:
+        """Returns a refusal if the limits of all upstreams are used up."""
         if not self._front.limits.known:
             return None
         now = self._loop.time()
-        staying = [
+        available = [
             upstream
             for upstream in self._front.chooser.view.ready_upstreams(
                 self._terms.service
             )
             if self._front.chooser.accepts_requests(upstream.name, now)
         ]
-        if not self.limit_draws.are_all_denied(staying, now):
+        if not self.limit_draws.are_all_denied(available, now):
             return None
-        return self._refuse_unavailable()
+        return self._refuse_if_unavailable()
 
-    def _choose(self, wanted: Requirements) -> Upstream | None:
+    def _choose(self, required: Requirements) -> Upstream | None:
         now = self._loop.time()
         return self._front.chooser.choose(
-            wanted, self._tried, now, self.limit_draws
+            required, self._tried, now, self.limit_draws
         )
 
-    def _refuse_resting(self) -> Refusal | None:
-        """Returns a refusal until the first upstream is back that rests.
+    def _refuse_if_resting(self) -> Refusal | None:
+        """Returns a refusal if all upstreams of the service rest.
 
-        None while one of the service takes requests.
+        Its retry delay is the time until the first one accepts requests again.
         """
         now = self._loop.time()
         service = self._terms.service
         seconds = self._front.chooser.seconds_until_available(service, now)
         if not seconds:
             return None
-        # Clients are told hundredths of seconds; none should be early.
+        # The retry delay is sent with two decimals. It is rounded up so that no
+        # client retries too early.
         return Refusal("resting", math.ceil(100 * seconds) / 100)
 
-    async def _find_once(self, *, is_new: bool) -> Upstream | Refusal:
+    async def _find_candidate(self, *, is_new: bool) -> Upstream | Refusal:
         self.chosen_by = "front"
         tried = self._tried
-        wanted = self.requirements()
+        required = self.requirements()
         if not tried and not self._are_upstreams_known():
             await self.wait_until_known(self._are_upstreams_known)
-        if wanted.artifact and is_new and self._is_refused():
-            return Refusal("overload", _OVERLOAD_AFTER)
-        if limited := self._refuse_limited():
-            return limited
-        chosen = self._choose(wanted)
-        if chosen is None and (resting := self._refuse_resting()):
-            return resting
-        if not wanted.artifact:
+        if required.artifact and is_new and self._is_refused_for_overload():
+            return Refusal("overload", _OVERLOAD_RETRY_SECONDS)
+        if limited_refusal := self._refuse_if_limited():
+            return limited_refusal
+        chosen = self._choose(required)
+        if chosen is None and (resting_refusal := self._refuse_if_resting()):
+            return resting_refusal
+        if not required.artifact:
             return (
-                chosen or self._refuse_unavailable() or Refusal("no_upstream")
+                chosen
+                or self._refuse_if_unavailable()
+                or Refusal("no_upstream")
             )
         if chosen is None:
-            return await self._want(wanted)
-        answer = await self._ask_assignment(wanted)
+            return await self._request_load(required)
+        answer = await self._ask_assignment(required)
         if answer is None:
             return chosen
-        if answer.reason == COPY_IS_SOONER and self._load_patience() > 0:
-            return await self._want(wanted)
-        return self._take_answer(wanted, answer) or chosen
+        if answer.reason == COPY_IS_SOONER and self._load_wait_seconds() > 0:
+            return await self._request_load(required)
+        return self._apply_answer(required, answer) or chosen
 
     async def wait_until_known(self, is_known: Callable[[], bool]) -> None:
-        """Waits a little until something is known."""
-        began = self._loop.time()
-        seconds = _LEARN_SECONDS
+        """Waits for a limited time until a predicate holds.
+
+        Args:
+            is_known: tested at first and after each change of what is known.
+        """
+        started_at = self._loop.time()
+        seconds = _DISCOVERY_SECONDS
         if self._facts.patience:
-            seconds = min(seconds, self._facts.patience * _LEARN_SHARE)
+            seconds = min(seconds, self._facts.patience * _DISCOVERY_SHARE)
         while not is_known():
-            left = began + seconds - self._loop.time()
+            left = started_at + seconds - self._loop.time()
             if left <= 0 or not await self._front.discovery_signal.within(left):
                 break
         log_message(
@@ -242,15 +257,18 @@
             known=is_known(),
             version=self._front.table.version,
             upstreams=len(self._front.fleet.view.upstreams),
-            seconds=round(self._loop.time() - began, 4),
+            seconds=round(self._loop.time() - started_at, 4),
         )
 
     def _are_upstreams_known(self) -> bool:
         view = self._front.chooser.view
         return bool(view.ready_upstreams(self._terms.service))
 
-    def _is_refused(self) -> bool:
-        """Whether a request that no engine has seen is one too many."""
+    def _is_refused_for_overload(self) -> bool:
+        """Whether admission control refuses this request for overload.
+
+        A request that was sent to an upstream before is always admitted.
+        """
         if self._tried:
             return False
         front = self._front
@@ -260,120 +278,126 @@
         )
         return front.rng.random() < share
 
-    # -- the owner's word ----------------------------------------------
+    # -- calls to the owner --------------------------------------------
 
     def _make_want(
-        self, wanted: Requirements, patience: float, *, is_held: bool
+        self, required: Requirements, patience: float, *, is_held: bool
     ) -> WantArtifact:
         now = self._loop.time()
         chooser = self._front.chooser
-        avoid = {
+        unusable = {
             *self._tried,
             *chooser.list_unusable(self._terms.service, now),
             *self.limit_draws.list_denied(),
         }
         return WantArtifact(
-            wanted.service,
-            wanted.artifact,
-            wanted.version,
-            tuple(avoid),
+            required.service,
+            required.artifact,
+            required.version,
+            tuple(unusable),
             patience,
             chooser.data_centre,
-            self._goal_at() - now,
+            self._goal_deadline() - now,
             self._facts.request,
             self._facts.prompt_tokens,
             self._facts.answer_tokens,
             is_held,
         )
 
-    def _goal_at(self) -> float:
+    def _goal_deadline(self) -> float:
         return self._terms.arrived_at + self._terms.goal
 
     async def _ask_assignment(
-        self, wanted: Requirements
+        self, required: Requirements
     ) -> ArtifactReady | None:
-        """Returns what the owner says of the holders, if it does at once."""
-        want = self._make_want(wanted, 0.0, is_held=True)
-        self._is_asking = True
+        """Returns the holder that the owner assigns; None without an answer."""
+        want = self._make_want(required, 0.0, is_held=True)
+        self._is_call_pending = True
         answer = await self._front.fleet.request_holder(want)
-        self._is_asking = False
+        self._is_call_pending = False
         return answer
 
-    def _take_answer(
-        self, wanted: Requirements, answer: ArtifactReady
+    def _apply_answer(
+        self, required: Requirements, answer: ArtifactReady
     ) -> Upstream | None:
-        """Returns the upstream of an owner's answer, unless it has left."""
+        """Returns the upstream that the owner named, if it can be used."""
         view = self._front.chooser.view
         upstream = view.upstreams.get(answer.upstream)
         if upstream is None or upstream.state != READY:
             return None
         if not self.accepts_requests(upstream.name):
             return None
-        upstream.resident[wanted.artifact] = answer.version
-        self._read_seconds = answer.read_seconds
+        upstream.resident[required.artifact] = answer.version
+        self._prefill_seconds = answer.read_seconds
         self.predicted_first_seconds = answer.first_seconds
-        self._reading_at = upstream.name
+        self._assigned_engine = upstream.name
         self.chosen_by = "owner"
         return upstream
 
-    async def _want(self, wanted: Requirements) -> Upstream | Refusal:
-        """Has the owner bring what the request needs, and waits for it."""
-        while self._wants < _MOST_WANTS:
-            self._wants += 1
-            patience = self._load_patience()
+    async def _request_load(self, required: Requirements) -> Upstream | Refusal:
+        """Asks the owner to have the artifact loaded, and waits for it."""
+        while self._want_count < _MAX_WANTS:
+            self._want_count += 1
+            patience = self._load_wait_seconds()
             if patience <= 0:
                 return Refusal("no_time_to_load")
-            answer = await self._want_once(wanted, patience)
-            upstream = self._take_answer(wanted, answer)
+            answer = await self._request_load_once(required, patience)
+            upstream = self._apply_answer(required, answer)
             if upstream is not None:
                 return upstream
-            chosen = self._choose(wanted)
+            chosen = self._choose(required)
             if chosen is not None:
                 return chosen
             if not answer.upstream:
                 return Refusal(answer.reason or "not_loaded", answer.after)
         return Refusal("not_loaded")
 
-    def _load_patience(self) -> float:
-        """Returns how much longer the request may wait for a load."""
+    def _load_wait_seconds(self) -> float:
+        """Returns the seconds for which the request may wait for a load."""
         terms = self._terms
-        left = terms.deadline - self._loop.time() - _ANSWER_SECONDS
-        most = min(terms.patience * _LOAD_WAIT_SHARE, _LOAD_WAIT_MOST)
-        return min(left, most - self.waited_seconds)
+        left = terms.deadline - self._loop.time() - _ANSWER_RESERVE_SECONDS
+        max_wait = min(
+            terms.patience * _LOAD_WAIT_SHARE, _MAX_LOAD_WAIT_SECONDS
+        )
+        return min(left, max_wait - self.waited_seconds)
 
-    async def _want_once(
-        self, wanted: Requirements, patience: float
+    async def _request_load_once(
+        self, required: Requirements, patience: float
     ) -> ArtifactReady:
-        asked_at = self._loop.time()
-        self._is_asking = True
+        started_at = self._loop.time()
+        self._is_call_pending = True
         answer = await self._front.fleet.request_artifact(
-            self._make_want(wanted, patience, is_held=False)
+            self._make_want(required, patience, is_held=False)
         )
-        self._is_asking = False
-        took = self._loop.time() - asked_at
-        self.waited_seconds += took
+        self._is_call_pending = False
+        seconds = self._loop.time() - started_at
+        self.waited_seconds += seconds
         log_message(
             "request:want",
             request=self._facts.request,
-            artifact=wanted.artifact,
-            version=wanted.version,
+            artifact=required.artifact,
+            version=required.version,
             upstream=answer.upstream,
             reason=answer.reason,
-            seconds=round(took, 4),
+            seconds=round(seconds, 4),
         )
         return answer
 
-    # -- the prompt at an engine ---------------------------------------
+    # -- reports on the prompt -----------------------------------------
 
     def rank(self, now: float) -> int:
-        """Returns the request's order among those that an engine has yet."""
+        """Returns the request's priority among those queued at an engine.
+
+        Args:
+            now: the loop's clock, in seconds.
+        """
         if not self._facts.artifact:
             return NORMAL_PRIORITY
-        reading = self._front.prefill_rate(self._terms.service)
-        seconds = self._read_seconds
-        if not self._reading_at or not seconds:
-            seconds = reading.estimate_seconds(self._facts.prompt_tokens)
-        return rank_request(seconds, self._goal_at() - now)
+        prefill_rate = self._front.prefill_rate(self._terms.service)
+        seconds = self._prefill_seconds
+        if not self._assigned_engine or not seconds:
+            seconds = prefill_rate.estimate_seconds(self._facts.prompt_tokens)
+        return rank_request(seconds, self._goal_deadline() - now)
 
     def report_reading_ended(
         self,
@@ -382,15 +406,15 @@
         failed: bool = False,
         unreachable: bool = False,
     ) -> None:
-        """Tells the owner, once, what became of the prompt at an engine.
+        """Reports to the owner, once, how the prefill at an engine ended.
 
         Args:
-            was_read: whether its first event has come.
-            failed: whether the engine failed it.
+            was_read: whether the first event has arrived.
+            failed: whether the engine failed the request.
             unreachable: whether it failed before anything was sent.
         """
-        if self._reading_at:
-            upstream, self._reading_at = self._reading_at, ""
+        if self._assigned_engine:
+            upstream, self._assigned_engine = self._assigned_engine, ""
             self._front.fleet.report_reading_ended(
                 ReadingEnded(
                     self._facts.request,
@@ -402,8 +426,8 @@
             )
 
     def abandon(self) -> None:
-        """Tells the owner, if it is being asked, not to count the prompt."""
-        if self._is_asking:
-            self._is_asking = False
+        """Reports the request's end if a call to the owner is outstanding."""
+        if self._is_call_pending:
+            self._is_call_pending = False
             ended = ReadingEnded(self._facts.request, "", False)
             self._front.fleet.report_reading_ended(ended)
--- a/src/ridgesill/app/upstream_words.py
+++ b/src/ridgesill/app/upstream_words.py
@@ -1,4 +1,8 @@
-"""Keeps, and passes on, what upstreams say of themselves in answers."""
+"""Handles what upstreams state about themselves in the heads of answers.
+
+An upstream can ask for a pause in requests, limit their rate, or announce that
+it leaves.
+"""
 
 import asyncio
 from collections.abc import Iterable
@@ -12,19 +16,19 @@
 from ridgesill.core.serving.unavailable import Unavailable
 from ridgesill.ports.dialect import NO_WORD, UpstreamWord
 
-# From this status on an answer is no success.
+# Answers with this status or a higher one are no successes.
 _REDIRECT = 300
 
 
 @attrs.frozen
 class AnswerContext:
-    """In whose answer something was said.
+    """The answer in which an upstream stated something.
 
     Attributes:
-        request: its id.
-        status: of the answer.
+        request: id of the request that was answered.
+        status: HTTP status of the answer.
         chosen_by: who chose the upstream: the front or the owner.
-        sent_at: when the request left, on the loop's clock.
+        sent_at: when the request was sent, on the loop's clock.
     """
 
     request: str
@@ -34,12 +38,12 @@
 
 
 class UpstreamWords:
-    """Takes what upstreams say in the heads of answers.
+    """Applies upstreams' statements and reports departures to the owner.
 
     Args:
-        unavailable: the upstreams that want no requests from here.
-        limits: the upstreams that take only so many.
-        fleet: the link to the owner, who learns of departures.
+        unavailable: keeps the upstreams that accept no requests now.
+        limits: keeps the upstreams' rate limits.
+        fleet: the connection to the owner.
     """
 
     def __init__(
@@ -49,74 +53,86 @@
         self._limits = limits
         self._fleet = fleet
         self._loop = asyncio.get_running_loop()
-        self._telling: dict[str, asyncio.Task[None]] = {}
+        self._reports: dict[str, asyncio.Task[None]] = {}
 
     def handle_word(
-        self, upstream: Upstream, word: UpstreamWord, heard_in: AnswerContext
+        self, upstream: Upstream, word: UpstreamWord, context: AnswerContext
     ) -> None:
-        """Takes what an upstream has said in an answer."""
+        """Handles what an upstream stated in an answer.
+
+        Args:
+            upstream: that answered.
+            word: what it stated.
+            context: the answer.
+        """
         now = self._loop.time()
-        is_news = self._take_limit(upstream, word, heard_in, now)
+        is_news = self._record_limit(upstream, word, context, now)
         if is_news or word != attrs.evolve(NO_WORD, limit=word.limit):
-            self._log(upstream, word, heard_in)
+            self._log(upstream, word, context)
         if word.rest:
             self._unavailable.record_rest(upstream.name, now + word.rest)
-        # With its address, another one has all that is meant for it.
-        is_replaced = word.instance not in ("", _instance(upstream))
+        # Another instance has the upstream's address by now, so that it gets
+        # the requests meant for the upstream.
+        is_replaced = word.instance not in ("", _instance_name(upstream))
         if not word.leaves and not is_replaced:
             return
         if self._unavailable.record_leaving(upstream.name, now):
-            self._tell(upstream)
+            self._report_leave(upstream)
 
-    def _take_limit(
+    def _record_limit(
         self,
         upstream: Upstream,
         word: UpstreamWord,
-        heard_in: AnswerContext,
+        context: AnswerContext,
         now: float,
     ) -> bool:
-        """Takes a limit, or that none is named; returns whether it is news."""
+        """Records a rate limit, or its absence; returns whether it is news."""
         if word.limit is not None:
             return self._limits.record_limit(
-                upstream.name, word.limit, heard_in.sent_at, now
+                upstream.name, word.limit, context.sent_at, now
             )
-        is_success = heard_in.status < _REDIRECT and not word.unread_limit
+        is_success = context.status < _REDIRECT and not word.unread_limit
         if is_success and self._limits.known:
-            self._limits.known.record_unlimited(upstream.name, heard_in.sent_at)
+            self._limits.known.record_unlimited(upstream.name, context.sent_at)
         return False
 
     def _log(
-        self, upstream: Upstream, word: UpstreamWord, heard_in: AnswerContext
+        self, upstream: Upstream, word: UpstreamWord, context: AnswerContext
     ) -> None:
         log_message(
             "request:upstream_word",
             upstream=upstream.name,
             peer=upstream.address,
-            request=heard_in.request,
-            status=heard_in.status,
-            chosen_by=heard_in.chosen_by,
+            request=context.request,
+            status=context.status,
+            chosen_by=context.chosen_by,
             **attrs.asdict(word),
         )
 
     def resend_leaves(self, upstreams: Iterable[Upstream]) -> None:
-        """Tells the owner again of what leaves and it still calls ready.
+        """Reports again the departures that the owner doesn't know.
 
-        An owner that has just started may not have heard it.
+        An owner that has just started may have missed the first report.
+
+        Args:
+            upstreams: as the owner's news describe them.
         """
         for upstream in upstreams:
-            is_known = upstream.state != READY
-            if not is_known and self._unavailable.is_leaving(upstream.name):
-                self._tell(upstream)
-
-    def _tell(self, upstream: Upstream) -> None:
-        if upstream.name in self._telling:
+            is_leaving_known = upstream.state != READY
+            if not is_leaving_known and self._unavailable.is_leaving(
+                upstream.name
+            ):
+                self._report_leave(upstream)
+
+    def _report_leave(self, upstream: Upstream) -> None:
+        if upstream.name in self._reports:
             return
-        leave = HeardLeave(_instance(upstream), upstream.start)
-        telling = self._loop.create_task(self._fleet.report_leave(leave))
-        self._telling[upstream.name] = telling
-        telling.add_done_callback(lambda _: self._telling.pop(upstream.name))
+        leave = HeardLeave(_instance_name(upstream), upstream.start)
+        report = self._loop.create_task(self._fleet.report_leave(leave))
+        self._reports[upstream.name] = report
+        report.add_done_callback(lambda _: self._reports.pop(upstream.name))
 
 
-def _instance(upstream: Upstream) -> str:
-    """Returns what an upstream calls itself."""
+def _instance_name(upstream: Upstream) -> str:
+    """Returns an upstream's own name for itself."""
     return upstream.instance or upstream.name
--- a/testing/app/test_front_process.py
+++ b/testing/app/test_front_process.py
@@ -60,7 +60,7 @@
         bounds = types.SimpleNamespace(grace=8.0)
         made._settings = types.SimpleNamespace(bounds=bounds)  # type: ignore[assignment]
         made._loop = asyncio.get_running_loop()
-        made._callers = listener
+        made._client_listener = listener
         made.front = types.SimpleNamespace()  # type: ignore[assignment]
         made._stopping = asyncio.Event()
         return made
@@ -79,7 +79,7 @@
         assert listener._server is not None
         host, port = listener._server.sockets[0].getsockname()
         front = self.make_front(listener)
-        await front._finish_work()
+        await front._finish_requests()
         assert front._stopping.is_set()
         with pytest.raises(ConnectionRefusedError):
             await asyncio.open_connection(host, port)
@@ -90,7 +90,9 @@
         monkeypatch.setattr(front_process, "_NOTICE_SECONDS", 0.1)
         assert listener._server is not None
         host, port = listener._server.sockets[0].getsockname()
-        ending = asyncio.create_task(self.make_front(listener)._finish_work())
+        ending = asyncio.create_task(
+            self.make_front(listener)._finish_requests()
+        )
         reader, writer = await asyncio.open_connection(host, port)
         writer.write(b"GET /x HTTP/1.1\r\nHost: a\r\n\r\n")
         assert b"200" in await asyncio.wait_for(reader.readline(), 5.0)
--- a/testing/app/test_quarantine.py
+++ b/testing/app/test_quarantine.py
@@ -81,7 +81,7 @@
 @pytest.fixture
 async def fronts(monkeypatch: pytest.MonkeyPatch) -> AsyncIterator[Fronts]:
     """Returns two fronts, before upstreams that are all gone."""
-    monkeypatch.setattr(quarantine, "_DRAW_SECONDS", 0.0)
+    monkeypatch.setattr(quarantine, "_MAX_KEY_DELAY_SECONDS", 0.0)
     log = SharedLog()
     gone = {upstream(number).address for number in range(9)}
 
