--- a/src/ridgesill/app/entry.py
+++ b/src/ridgesill/app/entry.py
@@ -38,9 +38,11 @@
 from ridgesill.core.targets import find_target
 from ridgesill.ports.peers import PeerError, Peers
 
+# Pause before the owners are asked again.
 _RETRY_SECONDS = 0.25
 # How much longer than the call's patience an owner's answer is waited for.
 _ANSWER_MARGIN_SECONDS = 0.5
+# How often the grants on a pool are reported to its owner.
 _HOLDING_INTERVAL_SECONDS = 1.0
 # How long after the loss of its owner a pool is expected to get the next one.
 # An election takes up to two seconds, a new leader listens for four by default,
--- a/src/ridgesill/app/exchange.py
+++ b/src/ridgesill/app/exchange.py
@@ -108,6 +108,12 @@
     # -- idempotency keys ----------------------------------------------
 
     def _check_idempotency(self) -> Reply | None:
+        """Reserves the idempotency key for this request.
+
+        Returns:
+            The reply to send if the key can't be reserved, such as the reply to
+            the first request with it.
+        """
         request = self._request
         key = OnceKey(
             self._team, request.key, request.digest, self._call.request
--- a/src/ridgesill/app/forwarding.py
+++ b/src/ridgesill/app/forwarding.py
@@ -185,8 +185,8 @@
             self._refuse(_QUARANTINE_REFUSAL)
             return
         if self._exceeds_quota():
-            after = self._front.quotas.retry_after_seconds()
-            self._refuse(Refusal("beyond_quota", after, 429))
+            retry_after = self._front.quotas.retry_after_seconds()
+            self._refuse(Refusal("beyond_quota", retry_after, 429))
             return
         self._deadline = min(self._deadline, self._front.stops_at)
         try:
@@ -250,6 +250,11 @@
             self._suspect.set_customer(customer.name)
 
     def _exceeds_quota(self) -> bool:
+        """Charges the request to the customer's quota.
+
+        Returns:
+            Whether the quota refuses the request.
+        """
         if self._customer is None:
             return False
         customer = self._customer
@@ -432,9 +437,9 @@
         return bool(word.rest) or word.limit is not None
 
     def _report_reading_ended(self, failure: Failure | None) -> None:
-        """Reports to the owner that the prompt has ended without an event.
+        """Reports to the owner that the attempt ended before the first event.
 
-        Does nothing if its first event was reported before.
+        Does nothing if the first event has been reported.
         """
         reached_upstream = failure is None or failure.reached_upstream
         self._search.report_reading_ended(
@@ -553,12 +558,12 @@
         if self._first_event_at:
             return
         now = self._first_event_at = self._loop.time()
-        took = now - self._sent_at
+        event_seconds = now - self._sent_at
         self._front.admission_control(self._service).record_first_event(
-            took, now
+            event_seconds, now
         )
         tokens = self._facts.prompt_tokens
-        self._front.prefill_rate(self._service).record(tokens, took)
+        self._front.prefill_rate(self._service).record(tokens, event_seconds)
 
     def _deliver(self, head: ResponseHead, body: bytes) -> None:
         responder = self._responder
@@ -573,7 +578,7 @@
             responder.send_data(body)
         responder.finish()
 
-    # -- what became of an attempt -------------------------------------
+    # -- outcome of an attempt -----------------------------------------
 
     def _record_served(self, upstream: Upstream, head: ResponseHead) -> None:
         now = self._loop.time()
@@ -583,8 +588,8 @@
             # end of the upstream.
             self._suspect.record_cut(upstream)
         elif head.status < _REDIRECT:
-            # Other statuses don't show that the upstream ran the request, so
-            # that they don't clear it of suspicion.
+            # Other statuses don't show that the upstream began the request, so
+            # they don't clear it.
             self._suspect.record_served()
         self._record_end("served", upstream.name, status=head.status)
 
@@ -630,7 +635,7 @@
         fronts = self._front.fleet.view.fronts
         return self._front.retries(self._service).acquire(now, fronts)
 
-    # -- ends ----------------------------------------------------------
+    # -- end of the request --------------------------------------------
 
     def _give_up(self, refusal: Refusal) -> None:
         if self._responder.started:
@@ -677,8 +682,12 @@
         self._answer(refusal.status, refusal.retry_after)
         self._record_end("refused", reason=refusal.reason)
 
-    def _answer(self, status: int, after: float) -> None:
-        headers = self._front.dialect.retry_headers(after) if after else ()
+    def _answer(self, status: int, retry_after: float) -> None:
+        headers = (
+            self._front.dialect.retry_headers(retry_after)
+            if retry_after
+            else ()
+        )
         self._responder.send_head(status, (*headers, (b"content-length", b"0")))
         self._responder.finish()
 
--- a/src/ridgesill/app/quarantine.py
+++ b/src/ridgesill/app/quarantine.py
@@ -117,7 +117,8 @@
         """Returns a request's fingerprint if the request is a suspect.
 
         The hash of a whole request, which costs time on the data path, is
-        computed only if a request with the same target is a suspect.
+        computed only if a request with the same target is a suspect, or if
+        ends observed here aren't in the log yet.
         """
         target = self._fingerprints.hash_target(identity.target)
         if not self._suspects.has_target(target) and not self._unreported_ends:
--- a/src/ridgesill/app/unknown_field_log.py
+++ b/src/ridgesill/app/unknown_field_log.py
@@ -7,8 +7,8 @@
 from ridgesill.core.recent_keys import RecentKeys
 from ridgesill.ports.telemetry import Telemetry
 
-# Names that are remembered as logged. Each incarnation of an upstream is logged
-# anew, so that their number isn't bounded otherwise.
+# Logged names that are remembered. Nothing else bounds their number, since each
+# incarnation of an upstream is logged anew.
 _MAX_LOGGED = 10_000
 
 
--- a/src/ridgesill/app/upstream_search.py
+++ b/src/ridgesill/app/upstream_search.py
@@ -150,14 +150,14 @@
         return self._refuse_if_unavailable() or Refusal("no_upstream")
 
     def accepts_requests(self, upstream: str) -> bool:
-        """Whether an upstream accepts this request, by its own word."""
+        """Whether an upstream's pauses and limits allow this request."""
         now = self._loop.time()
         if not self._front.chooser.accepts_requests(upstream, now):
             return False
         return self.limit_draws.is_allowed(upstream, now)
 
     def _refuse_if_unavailable(self) -> Refusal | None:
-        """Returns a refusal if all upstreams rest or any limit refused it."""
+        """Returns a refusal if all upstreams rest or deny the request."""
         if resting_refusal := self._refuse_if_resting():
             return resting_refusal
         denied = self.limit_draws.list_denied()
--- a/src/ridgesill/app/upstream_words.py
+++ b/src/ridgesill/app/upstream_words.py
@@ -16,7 +16,7 @@
 from ridgesill.core.serving.unavailable import Unavailable
 from ridgesill.ports.dialect import NO_WORD, UpstreamWord
 
-# Answers with this status or a higher one are no successes.
+# Lowest status that isn't a success.
 _REDIRECT = 300
 
 
--- a/testing/app/front_world.py
+++ b/testing/app/front_world.py
@@ -1,4 +1,4 @@
-"""A front between loopback clients and scripted upstreams."""
+"""Test fixtures: a front between loopback clients and scripted upstreams."""
 
 import asyncio
 import functools
@@ -52,7 +52,17 @@
 
 @attrs.define
 class Call:
-    """A request as an upstream got it, and its way to answer."""
+    """A request as an upstream received it; sends the answer.
+
+    Attributes:
+        head: request line and headers.
+        body: of the request.
+        reader: reads from the front.
+        writer: writes to the front.
+        number: of earlier requests to the upstream.
+        closed_at: when the front closed the channel, on the loop's clock; set
+            by `wait_closed`.
+    """
 
     head: str
     body: bytes
@@ -62,7 +72,7 @@
     closed_at: float = 0.0
 
     def header(self, name: str) -> str:
-        """Returns a header of the request."""
+        """Returns the value of a header; empty if there is none."""
         for line in self.head.split("\r\n")[1:]:
             key, _, value = line.partition(":")
             if key.strip().lower() == name:
@@ -72,7 +82,7 @@
     async def answer(
         self, status: int, body: bytes = b"ok", *headers: str
     ) -> None:
-        """Sends a whole answer."""
+        """Sends a complete answer, with further header lines."""
         lines = [
             f"HTTP/1.1 {status} X",
             f"Content-Length: {len(body)}",
@@ -82,7 +92,7 @@
         await self.send("\r\n".join(lines).encode() + b"\r\n\r\n" + body)
 
     async def send(self, data: bytes) -> None:
-        """Sends bytes."""
+        """Sends bytes as they are."""
         self.writer.write(data)
         await self.writer.drain()
 
@@ -97,19 +107,19 @@
         await self.send("\r\n".join(lines).encode() + b"\r\n\r\n")
 
     async def send_event(self, number: int) -> None:
-        """Sends an event of a stream."""
+        """Sends the event with a number, as a chunk of a stream."""
         data = b"id: %d\ndata: x\n\n" % number
         await self.send(b"%x\r\n%s\r\n" % (len(data), data))
 
     async def end_stream(self) -> None:
-        """Ends a stream as complete."""
+        """Sends the last chunk, which completes a stream."""
         await self.send(b"0\r\n\r\n")
 
     def reset(self) -> None:
-        """Resets the channel, which a close without lingering does."""
-        opened = self.writer.get_extra_info("socket")
+        """Resets the channel, by closing it with a linger time of zero."""
+        sock = self.writer.get_extra_info("socket")
         linger = struct.pack("ii", 1, 0)
-        opened.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
         self.writer.transport.abort()
 
     async def wait_closed(self) -> None:
@@ -123,7 +133,12 @@
 
 
 class ScriptedUpstream:
-    """Answers each request by a script."""
+    """An upstream that runs a script for each request.
+
+    Args:
+        name: of the upstream.
+        script: called with each request; sends the answer.
+    """
 
     def __init__(self, name: str, script: Script) -> None:
         self.name = name
@@ -133,7 +148,7 @@
         self._server: asyncio.Server | None = None
 
     async def start(self, port: int = 0) -> None:
-        """Begins to listen, at any port or at a given one."""
+        """Starts to listen, at a free port unless one is given."""
         self._server = await asyncio.start_server(
             self._serve, "127.0.0.1", port
         )
@@ -163,13 +178,13 @@
 
 
 class FakeOwnerClient(FleetClient):
-    """An owner that answers every want alike."""
+    """Stands in for the connection to the owner; returns what a test sets."""
 
     def __init__(self, peers: Any) -> None:
         super().__init__(peers, lambda: "", "front")
         self.wants: list[WantArtifact] = []
         self.answer = ArtifactReady("", reason="none", after=0.7)
-        # Which holder it names when asked; None while it doesn't answer.
+        # The holder that is assigned; None if the owner doesn't answer.
         self.assigned: ArtifactReady | None = None
         self.ended: list[ReadingEnded] = []
         self.leaves: list[HeardLeave] = []
@@ -184,16 +199,16 @@
         return self.assigned
 
     async def report_leave(self, leave: HeardLeave) -> None:
-        """Notes what the front tells."""
+        """Records the report."""
         self.leaves.append(leave)
 
     def report_reading_ended(self, ended: ReadingEnded) -> None:
-        """Notes what the front tells."""
+        """Records the report."""
         self.ended.append(ended)
 
 
 class FrontWorld:
-    """A front and its upstreams."""
+    """A front with a listener for clients, and its upstreams."""
 
     def __init__(self) -> None:
         self.fleet = FakeOwnerClient(None)
@@ -212,11 +227,11 @@
         self._upstreams: list[ScriptedUpstream] = []
 
     async def start(self) -> None:
-        """Begins to listen."""
+        """Starts to listen for clients."""
         await self._listener.start()
 
     async def stop(self) -> None:
-        """Ends everything."""
+        """Stops the upstreams and the front."""
         for upstream in self._upstreams:
             upstream.stop()
         self.front.channels.close()
@@ -225,7 +240,15 @@
     async def add(
         self, name: str, script: Script, service: str = "plain", **held: int
     ) -> ScriptedUpstream:
-        """Starts an upstream that the front knows."""
+        """Starts an upstream and adds it to the front's view of the fleet.
+
+        Args:
+            name: of the upstream.
+            script: called with each request.
+            service: of the upstream.
+            **held: versions of the artifacts it holds, by name, with `__` for
+                a slash.
+        """
         upstream = ScriptedUpstream(name, script)
         await upstream.start()
         self._upstreams.append(upstream)
@@ -247,14 +270,19 @@
         return upstream
 
     async def open(self) -> "Client":
-        """Opens a client's channel."""
+        """Connects a client to the front."""
         host, _, port = self.address.rpartition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         return Client(reader, writer)
 
 
 def make_table(timeout: float = 3.0, goal: float = 0.5) -> RouteTable:
-    """Returns routes of each kind."""
+    """Returns a table with a route of each kind.
+
+    Args:
+        timeout: of each route, in seconds.
+        goal: seconds within which an answer is in time.
+    """
     routes = [
         Route(
             prefix.strip("/"),
@@ -279,10 +307,13 @@
 
 @attrs.define
 class Answer:
-    """An answer as the client got it.
+    """An answer as the client received it.
 
     Attributes:
-        complete: whether it ended as its head said.
+        status: HTTP status.
+        headers: by name in lower case.
+        body: as far as it arrived.
+        complete: whether the whole body arrived, as framed by the head.
     """
 
     status: int
@@ -293,13 +324,13 @@
 
 @attrs.define
 class Client:
-    """A client's channel."""
+    """A client with a connection to the front."""
 
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
 
     async def send(self, path: str, body: bytes = b"", **headers: str) -> None:
-        """Sends a request."""
+        """Sends a request; headers are keyword arguments with underscores."""
         given = {
             "host": "a.example",
             "request-id": "r1",
@@ -315,7 +346,7 @@
         await self.writer.drain()
 
     async def read(self) -> Answer:
-        """Returns the answer."""
+        """Reads and returns an answer."""
         head = (await self.reader.readuntil(b"\r\n\r\n")).decode("latin-1")
         lines = head.rstrip().split("\r\n")
         headers = dict(line.lower().split(": ", 1) for line in lines[1:])
@@ -344,5 +375,5 @@
         return await self.read()
 
     def close(self) -> None:
-        """Closes the channel."""
+        """Closes the connection."""
         self.writer.close()
--- a/testing/app/test_entry.py
+++ b/testing/app/test_entry.py
@@ -32,18 +32,18 @@
 
 
 class GrantingPeers:
-    """Grants all that is asked of it."""
+    """Stands in for other nodes: grants each call."""
 
     async def call(self, address: str, message: Admit, timeout: float) -> Any:
         """Returns a grant."""
         return Granted(message.request, "t1", "10.0.0.9:80", "x", 0.0, 0.0, 1)
 
     def send(self, address: str, message: Any) -> None:
-        """Drops a message."""
+        """Ignores the message."""
 
 
-class OwnedPool:
-    """One pool in the replicated state, and an entry node that reads it."""
+class PoolFixture:
+    """A pool in the replicated state, and an entry node that reads it."""
 
     def __init__(self) -> None:
         self._log = LocalLog()
@@ -68,7 +68,7 @@
         self.entry.apply_owners()
 
     def release(self) -> None:
-        """Has its owner hand it over, as it does when it is restarted."""
+        """Releases the pool, as an owner that is restarted does."""
         epoch = self._log.state.owners[_POOL].epoch
         self._apply(ReleasePool(_POOL, epoch))
         self.entry.apply_owners()
@@ -83,54 +83,48 @@
     async def test_a_call_waits_for_the_next_owner_of_a_released_pool(
         self,
     ) -> None:
-        # All nodes were restarted in turn under load, and 13 of 117 requests
-        # were refused although every runner was well. A pool whose owner stops
-        # is released, and has no owner until it is granted again. In the run
-        # of these lines that took four seconds: the leader left at the same
-        # time, and with it the only node that heard the pool's runners.
-        #
-        #     14.74  n3 pool:given_up west/assist
-        #     14.94  n2 request:end not-run no-runner, after 0.0006 s
-        #     15.99  n1 log:leading
-        #     18.79  n3 pool:owned west/assist
-        #
-        # An entry node took a pool without an owner for one that doesn't exist.
-        pool = OwnedPool()
+        # An entry node refused calls at once for a pool without an owner, as if
+        # the pool didn't exist: 13 of 117 requests were refused while all nodes
+        # were restarted in turn under load, although every runner was healthy.
+        # A pool whose owner stops has none until it is granted again. That took
+        # four seconds when the leader stopped at the same time, and with it the
+        # only node that heard the pool's runners.
+        pool = PoolFixture()
         pool.grant()
         pool.release()
-        asked = asyncio.ensure_future(pool.admit())
+        admitting = asyncio.ensure_future(pool.admit())
         await asyncio.sleep(4.0)
-        assert not asked.done()
+        assert not admitting.done()
         pool.grant()
-        assert isinstance(await asked, Ok)
+        assert isinstance(await admitting, Ok)
 
     async def test_a_call_waits_no_longer_than_its_patience(self) -> None:
-        pool = OwnedPool()
+        pool = PoolFixture()
         pool.grant()
         pool.release()
-        began = asyncio.get_running_loop().time()
+        started_at = asyncio.get_running_loop().time()
         refused = await pool.admit(patience=2.0)
         assert isinstance(refused, Err)
         assert refused.err_value.reason == NO_RUNNER
-        assert asyncio.get_running_loop().time() - began <= 2.0
+        assert asyncio.get_running_loop().time() - started_at <= 2.0
 
     async def test_a_pool_that_never_had_an_owner_is_refused_at_once(
         self,
     ) -> None:
-        pool = OwnedPool()
-        began = asyncio.get_running_loop().time()
+        pool = PoolFixture()
+        started_at = asyncio.get_running_loop().time()
         refused = await pool.admit()
         assert refused.err_value.reason == NO_RUNNER
-        assert asyncio.get_running_loop().time() == began
+        assert asyncio.get_running_loop().time() == started_at
 
     async def test_a_pool_long_without_an_owner_is_refused_at_once(
         self,
     ) -> None:
-        pool = OwnedPool()
+        pool = PoolFixture()
         pool.grant()
         pool.release()
         await asyncio.sleep(60.0)
-        began = asyncio.get_running_loop().time()
+        started_at = asyncio.get_running_loop().time()
         refused = await pool.admit()
         assert refused.err_value.reason == NO_RUNNER
-        assert asyncio.get_running_loop().time() == began
+        assert asyncio.get_running_loop().time() == started_at
--- a/testing/app/test_exchange.py
+++ b/testing/app/test_exchange.py
@@ -1,4 +1,4 @@
-"""Tests of one request's life, over fake ports."""
+"""Tests of serving a caller's request, over fake ports."""
 
 import asyncio
 from collections.abc import Iterator
@@ -20,13 +20,13 @@
 )
 from ridgesill.ports.serving import CallerRequest, CutError, Reply
 
-_NOT_SENT = RunnerFailure("connect", "r:1", "refused", not_run=True)
-_UNSURE = RunnerFailure("request", "r:1", "reset", not_run=False)
+_NOT_RUN_FAILURE = RunnerFailure("connect", "r:1", "refused", not_run=True)
+_MAYBE_RUN_FAILURE = RunnerFailure("request", "r:1", "reset", not_run=False)
 _NO_RUNNER = Refusal("no-runner", "none", 2.0)
 
 
 class FakeBridge:
-    """Runs coroutines at once."""
+    """Runs coroutines on a loop of its own, in the calling thread."""
 
     def __init__(self) -> None:
         self._loop = asyncio.new_event_loop()
@@ -41,29 +41,34 @@
 
 
 class FakeEntry:
-    """Admits by a script; notes what was given back."""
+    """Admits or refuses calls by a script, and records the verdicts.
+
+    Args:
+        script: for each call, why it is refused; None to admit it.
+        retries: the retry budget.
+    """
 
     def __init__(
         self, script: list[Refusal | None], retries: RetryBudget
     ) -> None:
         self.retries = retries
         self.finished: list[str] = []
-        self.asked: list[tuple[str, ...]] = []
+        self.avoided: list[tuple[str, ...]] = []
         self._script = script
 
     def check(self, call: Call) -> Result[Target, Refusal]:
-        """Finds every call right."""
+        """Accepts every call."""
         return Ok(Target("s", "a@1", "t", frozenset({"east"})))
 
     async def admit(
         self, call: Call, avoid: tuple[str, ...] = ()
     ) -> Result[Admission, Refusal]:
-        """Returns what the script says."""
-        self.asked.append(avoid)
+        """Returns a grant, or the refusal that is next in the script."""
+        self.avoided.append(avoid)
         refusal = self._script.pop(0)
         if refusal is not None:
             return Err(refusal)
-        number = len(self.asked)
+        number = len(self.avoided)
         return Ok(
             Admission(
                 call.request,
@@ -82,12 +87,16 @@
         )
 
     def finish(self, admission: Admission, verdict: str = FINE) -> None:
-        """Notes the verdict."""
+        """Records the verdict."""
         self.finished.append(verdict)
 
 
 class FakeResponse:
-    """An answer in chunks, the last of which may be a cut."""
+    """An answer in chunks.
+
+    Args:
+        chunks: of the body; None where the answer is cut.
+    """
 
     status = 200
     content_type = "text/event-stream"
@@ -98,7 +107,7 @@
         self._chunks = chunks
 
     def chunks(self) -> Iterator[bytes]:
-        """Yields the chunks; None stands for a cut."""
+        """Yields the chunks until the answer is cut or ends."""
         for chunk in self._chunks:
             if chunk is None:
                 raise AnswerCutError("cut")
@@ -109,16 +118,16 @@
         return b"".join(self.chunks())
 
     def release(self) -> None:
-        """Notes a whole answer."""
+        """Records that the answer was read completely."""
         self.ended = "released"
 
     def cancel(self) -> None:
-        """Notes a cancelled one."""
+        """Records that the answer was cancelled."""
         self.ended = "cancelled"
 
 
 class FakeRunners:
-    """Answers by a script."""
+    """Answers or fails requests by a script."""
 
     def __init__(self, script: list[FakeResponse | RunnerFailure]) -> None:
         self._script = script
@@ -126,21 +135,28 @@
     def open(
         self, address: str, request: RunnerRequest, *, repeatable: bool
     ) -> Any:
-        """Returns what the script says."""
+        """Returns the next item of the script."""
         answer = self._script.pop(0)
         return Err(answer) if isinstance(answer, RunnerFailure) else Ok(answer)
 
 
 class FakeMetrics:
-    """Takes all observations."""
+    """Ignores all observations."""
 
     def __getattr__(self, name: str) -> Any:
         return lambda *_args, **_kwargs: None
 
 
 @attrs.define
-class Bench:
-    """An exchange over fakes."""
+class ExchangeFixture:
+    """Serves a request over fakes.
+
+    Attributes:
+        admissions: for each attempt, why it is refused; None to admit it.
+        answers: for each attempt that is admitted.
+        retries: the retry budget.
+        entry: the fake entry, once a request was served.
+    """
 
     admissions: list[Refusal | None]
     answers: list[FakeResponse | RunnerFailure]
@@ -148,7 +164,7 @@
     entry: FakeEntry = attrs.field(init=False)
 
     def serve(self, **fields: Any) -> Reply:
-        """Serves a request."""
+        """Serves a request, with some fields changed from the default."""
         self.entry = FakeEntry(self.admissions, self.retries)
         services = ExchangeServices(
             FakeBridge(),  # type: ignore[arg-type]
@@ -169,73 +185,96 @@
 
 
 class TestRetries:
-    def test_what_was_not_sent_is_sent_elsewhere(self) -> None:
-        bench = Bench([None, None], [_NOT_SENT, FakeResponse([b"x"])])
-        reply = bench.serve(repeatable=False)
+    def test_a_request_that_was_not_sent_is_sent_to_another_runner(
+        self,
+    ) -> None:
+        fixture = ExchangeFixture(
+            [None, None], [_NOT_RUN_FAILURE, FakeResponse([b"x"])]
+        )
+        reply = fixture.serve(repeatable=False)
         assert reply.outcome == calls.COMPLETED
-        assert bench.entry.asked == [(), ("r1",)]
-        assert bench.entry.finished == [FAILED, FINE]
+        assert fixture.entry.avoided == [(), ("r1",)]
+        assert fixture.entry.finished == [FAILED, FINE]
 
-    def test_what_may_have_run_is_sent_again_if_repeatable(self) -> None:
-        bench = Bench([None, None], [_UNSURE, FakeResponse([b"x"])])
-        assert bench.serve().outcome == calls.COMPLETED
+    def test_a_request_that_may_have_run_is_sent_again_if_repeatable(
+        self,
+    ) -> None:
+        fixture = ExchangeFixture(
+            [None, None], [_MAYBE_RUN_FAILURE, FakeResponse([b"x"])]
+        )
+        assert fixture.serve().outcome == calls.COMPLETED
 
-    def test_what_may_have_run_is_not_sent_again_otherwise(self) -> None:
-        bench = Bench([None], [_UNSURE])
-        reply = bench.serve(repeatable=False)
+    def test_a_request_that_may_have_run_is_not_sent_again_otherwise(
+        self,
+    ) -> None:
+        fixture = ExchangeFixture([None], [_MAYBE_RUN_FAILURE])
+        reply = fixture.serve(repeatable=False)
         assert reply.outcome == calls.UNKNOWN
         assert reply.status == 502
 
-    def test_a_refusal_after_an_unsure_attempt_is_not_not_run(self) -> None:
-        bench = Bench([None, _NO_RUNNER], [_UNSURE])
-        assert bench.serve().outcome == calls.UNKNOWN
-
-    def test_a_failure_after_an_unsure_attempt_is_not_not_run(self) -> None:
-        answers = [_UNSURE, _NOT_SENT, _NOT_SENT, _NOT_SENT]
-        bench = Bench([None] * 4, answers)
-        assert bench.serve().outcome == calls.UNKNOWN
-
-    def test_a_refusal_without_an_attempt_is_not_run(self) -> None:
-        bench = Bench([_NO_RUNNER], [])
-        assert bench.serve().outcome == calls.NOT_RUN
+    def test_a_refusal_after_a_possible_run_has_an_unknown_outcome(
+        self,
+    ) -> None:
+        fixture = ExchangeFixture([None, _NO_RUNNER], [_MAYBE_RUN_FAILURE])
+        assert fixture.serve().outcome == calls.UNKNOWN
 
-    def test_without_a_budget_it_fails_at_once(self) -> None:
+    def test_a_failure_after_a_possible_run_has_an_unknown_outcome(
+        self,
+    ) -> None:
+        answers = [
+            _MAYBE_RUN_FAILURE,
+            _NOT_RUN_FAILURE,
+            _NOT_RUN_FAILURE,
+            _NOT_RUN_FAILURE,
+        ]
+        fixture = ExchangeFixture([None] * 4, answers)
+        assert fixture.serve().outcome == calls.UNKNOWN
+
+    def test_a_refusal_without_an_attempt_has_the_outcome_not_run(self) -> None:
+        fixture = ExchangeFixture([_NO_RUNNER], [])
+        assert fixture.serve().outcome == calls.NOT_RUN
+
+    def test_without_a_retry_budget_a_request_fails_at_once(self) -> None:
         empty = RetryBudget(share=0.0, burst=0.0, saved=0.0)
-        bench = Bench([None], [_NOT_SENT], empty)
-        assert bench.serve().outcome == calls.NOT_RUN
-        assert len(bench.entry.asked) == 1
+        fixture = ExchangeFixture([None], [_NOT_RUN_FAILURE], empty)
+        assert fixture.serve().outcome == calls.NOT_RUN
+        assert len(fixture.entry.avoided) == 1
 
 
 class TestStream:
-    def test_a_whole_stream_releases_its_connection(self) -> None:
+    def test_a_complete_stream_releases_its_connection(self) -> None:
         response = FakeResponse([b"data: {}", b"data: [DONE]"])
-        bench = Bench([None], [response])
-        reply = bench.serve(streamed=True)
+        fixture = ExchangeFixture([None], [response])
+        reply = fixture.serve(streamed=True)
         assert b"".join(reply.body) == b"data: {}data: [DONE]"
         assert response.ended == "released"
-        assert bench.entry.finished == [FINE]
+        assert fixture.entry.finished == [FINE]
 
     @pytest.mark.parametrize("chunks", [[b"data: {}", None], [b"data: {}"]])
-    def test_a_cut_stream_says_so(self, chunks: list[bytes | None]) -> None:
+    def test_a_cut_stream_raises_an_error(
+        self, chunks: list[bytes | None]
+    ) -> None:
         response = FakeResponse(chunks)
-        bench = Bench([None], [response])
-        reply = bench.serve(streamed=True)
+        fixture = ExchangeFixture([None], [response])
+        reply = fixture.serve(streamed=True)
         with pytest.raises(CutError):
             b"".join(reply.body)
         assert response.ended == "cancelled"
-        assert bench.entry.finished == [FINE]
+        assert fixture.entry.finished == [FINE]
 
-    def test_a_caller_that_leaves_cancels_it(self) -> None:
+    def test_a_caller_that_leaves_cancels_the_stream(self) -> None:
         response = FakeResponse([b"data: {}", b"data: [DONE]"])
-        bench = Bench([None], [response])
-        body = bench.serve(streamed=True).body
+        fixture = ExchangeFixture([None], [response])
+        body = fixture.serve(streamed=True).body
         assert not isinstance(body, bytes)
         next(body)
         body.close()  # type: ignore[attr-defined]
         assert response.ended == "cancelled"
-        assert bench.entry.finished == [FINE]
+        assert fixture.entry.finished == [FINE]
 
-    def test_one_cut_before_its_first_byte_is_tried_elsewhere(self) -> None:
+    def test_a_stream_cut_before_its_first_byte_is_tried_elsewhere(
+        self,
+    ) -> None:
         answers = [FakeResponse([None]), FakeResponse([b"data: [DONE]"])]
-        reply = Bench([None, None], answers).serve(streamed=True)
+        reply = ExchangeFixture([None, None], answers).serve(streamed=True)
         assert b"".join(reply.body) == b"data: [DONE]"
--- a/testing/app/test_forwarding.py
+++ b/testing/app/test_forwarding.py
@@ -1,4 +1,4 @@
-"""Tests of one request's way through a front, over loopback."""
+"""Tests of forwarding requests through a front, over loopback."""
 
 import asyncio
 import random
@@ -35,8 +35,8 @@
 STREAM = {"model": ADAPTER, "token_counts": "10,70"}
 
 
-class NoChance(random.Random):
-    """Always draws the lowest number."""
+class LowestRandom(random.Random):
+    """Always returns 0, the lowest random number."""
 
     def random(self) -> float:
         return 0.0
@@ -63,7 +63,7 @@
     await call.answer(500, b"broken", "Server-Stamp: s2")
 
 
-async def wait_in_vain(want: WantArtifact) -> ArtifactReady:
+async def wait_forever(want: WantArtifact) -> ArtifactReady:
     await asyncio.Event().wait()
     raise AssertionError(want)
 
@@ -96,7 +96,7 @@
         client = await world.open()
         assert (await client.ask("/nowhere/x")).status == 404
 
-    async def test_without_a_configuration_nothing_is_said_of_routes(
+    async def test_without_a_configuration_a_request_is_refused_for_now(
         self, world: FrontWorld
     ) -> None:
         world.front.table = type(world.front.table)()
@@ -116,10 +116,11 @@
 
 
 class TestRetries:
-    async def test_an_upstream_s_own_failure_is_delivered_if_nobody_is_left(
+    async def test_a_failure_answer_is_delivered_if_no_upstream_is_left(
         self, world: FrontWorld
     ) -> None:
-        # It was replaced by a 502 (tjn-ops scale-1, two of three had left).
+        # The front replaced the upstream's 500 by a 502 of its own after two of
+        # three upstreams had left.
         await world.add("u1", fail)
         client = await world.open()
         answer = await client.ask("/safe/x")
@@ -138,7 +139,7 @@
         assert first.calls
         assert len(second.calls) == 6
 
-    async def test_one_that_may_have_run_is_not_sent_again(
+    async def test_an_unsafe_request_that_may_have_run_is_not_sent_again(
         self, world: FrontWorld
     ) -> None:
         await world.add("u1", reset)
@@ -150,14 +151,16 @@
         assert len(second.calls) <= 1
         assert sum(len(u.calls) for u in world._upstreams) == 1
 
-    async def test_a_safe_one_is(self, world: FrontWorld) -> None:
+    async def test_a_safe_request_that_may_have_run_is_sent_again(
+        self, world: FrontWorld
+    ) -> None:
         await world.add("u1", reset)
         await world.add("u2", answer_ok)
         client = await world.open()
         for _ in range(4):
             assert (await client.ask("/safe/x")).status == 200
 
-    async def test_no_more_upstreams_than_the_route_allows(
+    async def test_attempts_are_limited_by_the_route(
         self, world: FrontWorld
     ) -> None:
         for name in ("u1", "u2", "u3"):
@@ -168,7 +171,7 @@
         assert answer.headers["server-stamp"] == "s2"
         assert sum(len(u.calls) for u in world._upstreams) == 2
 
-    async def test_everyone_refusing_is_a_true_not_run(
+    async def test_a_request_that_all_upstreams_refuse_is_answered_as_not_run(
         self, world: FrontWorld
     ) -> None:
         await world.add("u1", refuse)
@@ -177,7 +180,7 @@
         assert answer.status == 503
         assert float(answer.headers["retry-after"]) > 0
 
-    async def test_an_upstream_s_own_promise_after_a_run_is_not_passed_on(
+    async def test_a_not_run_status_after_a_possible_run_is_replaced(
         self, world: FrontWorld
     ) -> None:
         async def overloaded(call: Call) -> None:
@@ -249,7 +252,7 @@
         world.front.discovery_signal.note()
         assert (await asking).status == 200
 
-    async def test_it_is_refused_in_time_to_come_back(
+    async def test_without_an_upstream_it_is_refused_early_enough_for_a_retry(
         self, world: FrontWorld
     ) -> None:
         client = await world.open()
@@ -262,7 +265,7 @@
 
 
 class TestStop:
-    """A front that has got its notice and stops 1.5 s from now."""
+    """A stopping front whose notice is over; it ends in 1.5 s."""
 
     @pytest.fixture
     async def stopping(self, world: FrontWorld) -> FrontWorld:
@@ -271,7 +274,7 @@
         world.front.stops_at = now + 1.5
         return world
 
-    async def test_one_that_may_outlast_the_front_is_refused_at_once(
+    async def test_a_request_that_may_outlast_the_front_is_refused_at_once(
         self, stopping: FrontWorld
     ) -> None:
         upstream = await stopping.add("u1", answer_ok)
@@ -281,7 +284,7 @@
         assert 0 < float(answer.headers["retry-after"]) < 0.1
         assert upstream.calls == []
 
-    async def test_one_that_surely_ends_before_is_served(
+    async def test_a_request_that_ends_before_the_stop_is_served(
         self, stopping: FrontWorld
     ) -> None:
         await stopping.add("u1", answer_slowly)
@@ -289,7 +292,7 @@
         answer = await client.ask("/unsafe/x", b"b", request_deadline="1000")
         assert answer.status == 200
 
-    async def test_one_that_waits_gets_its_answer_before_the_stop(
+    async def test_a_waiting_request_is_answered_before_the_stop(
         self, stopping: FrontWorld
     ) -> None:
         stopping.front.refuses_from = float("inf")
@@ -301,12 +304,12 @@
 
 class TestOverload:
     @pytest.mark.parametrize(("busy", "status"), [(99, 503), (0, 200)])
-    async def test_a_part_is_refused_at_once_while_engines_are_full(
+    async def test_a_share_is_refused_at_once_while_engines_are_full(
         self, world: FrontWorld, busy: int, status: int
     ) -> None:
         upstream = await world.add("u1", stream_three, "engine", base__a1=1)
         world.front.fleet.view.busy = {"u1": busy}
-        world.front.rng = NoChance()
+        world.front.rng = LowestRandom()
         now = asyncio.get_running_loop().time()
         for _ in range(50):
             world.front.admission_control("engine").record_first_event(5.0, now)
@@ -318,7 +321,7 @@
 
 
 class TestPriority:
-    async def test_one_that_will_be_late_goes_behind_others(
+    async def test_a_request_that_will_be_late_gets_a_lower_priority(
         self, world: FrontWorld
     ) -> None:
         upstream = await world.add(
@@ -330,10 +333,12 @@
         await client.ask("/stream/x", **long)
         world.front.table = make_table(goal=0.0)
         await client.ask("/stream/x", **STREAM)
-        said = [call.header("request-priority") for call in upstream.calls]
-        assert said == ["2", "3", "8"]
+        priorities = [
+            call.header("request-priority") for call in upstream.calls
+        ]
+        assert priorities == ["2", "3", "8"]
 
-    async def test_a_plain_service_is_told_none(
+    async def test_a_plain_service_gets_no_priority(
         self, world: FrontWorld
     ) -> None:
         upstream = await world.add("u1", answer_ok)
@@ -343,7 +348,9 @@
 
 
 class TestStreams:
-    async def test_events_go_on_as_they_come(self, world: FrontWorld) -> None:
+    async def test_events_are_relayed_as_they_arrive(
+        self, world: FrontWorld
+    ) -> None:
         released = asyncio.Event()
 
         async def slow(call: Call) -> None:
@@ -375,7 +382,7 @@
         answer = await client.ask("/stream/x", b"b", **STREAM)
         assert not answer.complete
 
-    async def test_one_that_may_be_resumed_goes_on_elsewhere(
+    async def test_a_resumable_stream_continues_at_another_upstream(
         self, world: FrontWorld
     ) -> None:
         async def cut_or_go_on(call: Call) -> None:
@@ -401,7 +408,7 @@
             "id: 3",
         ]
 
-    async def test_a_refusal_on_resuming_does_not_end_up_in_the_stream(
+    async def test_a_refusal_on_resuming_is_not_appended_to_the_stream(
         self, world: FrontWorld
     ) -> None:
         async def cut_or_refuse(call: Call) -> None:
@@ -421,7 +428,7 @@
 
 
 class TestAdapters:
-    async def test_one_that_left_during_the_wait_gets_nothing(
+    async def test_an_upstream_that_left_during_the_wait_gets_no_request(
         self, world: FrontWorld
     ) -> None:
         upstream = await world.add("u1", stream_three, "engine", base=1)
@@ -434,7 +441,7 @@
         assert answer.status == 503
         assert not upstream.calls
 
-    async def test_a_missing_one_is_wanted_from_the_owner(
+    async def test_a_missing_adapter_is_requested_from_the_owner(
         self, world: FrontWorld
     ) -> None:
         await world.add("u1", stream_three, "engine", base=1)
@@ -444,7 +451,7 @@
         assert answer.complete
         assert [w.artifact for w in world.fleet.wants] == [ADAPTER]
 
-    async def test_one_that_will_not_come_is_refused_with_when_to_return(
+    async def test_an_unloadable_adapter_is_refused_with_a_retry_delay(
         self, world: FrontWorld
     ) -> None:
         await world.add("u1", stream_three, "engine", base=1)
@@ -465,7 +472,7 @@
 
 
 class TestAssignment:
-    """Two engines hold the adapter; the owner says which one it shall be."""
+    """Two engines hold the adapter; the owner assigns one of them."""
 
     @pytest.fixture
     async def holders(self, world: FrontWorld) -> list[ScriptedUpstream]:
@@ -485,10 +492,10 @@
         for _ in range(4):
             assert (await client.ask("/stream/x", **STREAM)).status == 200
         assert len(holders[chosen].calls) == 4
-        said = holders[chosen].calls[0].header("request-priority")
-        assert said == "3"
+        priorities = holders[chosen].calls[0].header("request-priority")
+        assert priorities == "3"
 
-    async def test_without_one_the_front_chooses(
+    async def test_without_an_assignment_the_front_chooses(
         self, world: FrontWorld, holders: list[ScriptedUpstream]
     ) -> None:
         client = await world.open()
@@ -496,14 +503,14 @@
         assert sum(len(holder.calls) for holder in holders) == 1
         assert world.fleet.ended == []
 
-    async def test_one_that_has_left_meanwhile_is_not_followed(
+    async def test_an_assignment_to_an_upstream_that_left_is_not_followed(
         self, world: FrontWorld, holders: list[ScriptedUpstream]
     ) -> None:
         world.fleet.assigned = ArtifactReady("gone", 1)
         client = await world.open()
         assert (await client.ask("/stream/x", **STREAM)).status == 200
 
-    async def test_the_owner_hears_once_that_a_prompt_was_read(
+    async def test_the_owner_is_told_once_that_a_prompt_was_read(
         self, world: FrontWorld, holders: list[ScriptedUpstream]
     ) -> None:
         world.fleet.assigned = ArtifactReady("u1", 1)
@@ -511,7 +518,7 @@
         await client.ask("/stream/x", **STREAM)
         assert world.fleet.ended == [ReadingEnded("r1", "u1", True)]
 
-    async def test_and_that_it_never_will_be(
+    async def test_the_owner_is_told_that_a_prompt_was_not_read(
         self, world: FrontWorld, holders: list[ScriptedUpstream]
     ) -> None:
         holders[0].script = refuse
@@ -520,12 +527,12 @@
         await client.ask("/stream/x", **STREAM)
         assert world.fleet.ended[0] == ReadingEnded("r1", "u1", False)
 
-    async def test_one_that_leaves_while_the_owner_is_asked_counts_nowhere(
+    async def test_the_owner_is_told_of_a_client_that_leaves_while_it_is_asked(
         self, world: FrontWorld
     ) -> None:
         await world.add("u1", stream_three, "engine", base=1)
         client = await world.open()
-        world.fleet.request_artifact = wait_in_vain  # type: ignore[method-assign]
+        world.fleet.request_artifact = wait_forever  # type: ignore[method-assign]
         await client.send("/stream/x", **STREAM)
         await asyncio.sleep(0.1)
         client.close()
@@ -533,20 +540,20 @@
         assert world.fleet.ended == [ReadingEnded("r1", "", False)]
 
 
-class TestSilence:
+class TestKeepAlive:
     async def test_the_kernel_ends_a_channel_that_went_silent(
         self, world: FrontWorld
     ) -> None:
-        # While only an answer is awaited nothing is sent, so that no
-        # acknowledgement is missing: probes must ask for one.
+        # While the front waits for an answer, it sends nothing, so no missing
+        # acknowledgement shows that the peer is gone. Keep-alive probes must.
         await world.add("u1", answer_ok)
         client = await world.open()
         await client.ask("/safe/x")
-        (resting,) = world.front.channels._resting.values()
-        opened = resting[0]._transport.get_extra_info("socket")
+        (idle,) = world.front.channels._resting.values()
+        sock = idle[0]._transport.get_extra_info("socket")
 
         def option(level: int, name: int) -> int:
-            return opened.getsockopt(level, name)
+            return sock.getsockopt(level, name)
 
         assert option(socket.SOL_SOCKET, socket.SO_KEEPALIVE) == 1
         assert option(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE) == 1
@@ -555,11 +562,11 @@
 
 
 class TestChannels:
-    async def test_a_front_keeps_within_its_share(
+    async def test_a_front_keeps_within_its_share_of_channels(
         self, world: FrontWorld
     ) -> None:
         upstream = await world.add("u1", answer_slowly)
-        # Ten channels for five fronts.
+        # Five fronts share ten channels.
         world.front.fleet.view.fronts = 5
         clients = [await world.open() for _ in range(3)]
         answers = await asyncio.gather(
@@ -568,12 +575,12 @@
         assert sorted(answer.status for answer in answers) == [200, 200, 503]
         assert len(upstream.calls) == 2
 
-    async def test_a_second_answer_is_not_taken_for_the_next_one(
+    async def test_a_surplus_answer_is_not_taken_for_the_next_one(
         self, world: FrontWorld
     ) -> None:
         async def answer_late(call: Call) -> None:
             if call.number == 1:
-                # Stands where the answer to the second request is due.
+                # The front expects the answer to the second request here.
                 await call.send(
                     b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n"
                     b"Request-Id: other\r\n\r\nwrong"
@@ -612,7 +619,7 @@
         answer = await client.ask("/unsafe/x", b"b")
         assert (answer.status, answer.body) == (200, b"all of it")
 
-    async def test_one_that_is_reset_is_not_whole(
+    async def test_an_answer_that_ends_with_a_reset_is_not_complete(
         self, world: FrontWorld
     ) -> None:
         async def cut(call: Call) -> None:
@@ -628,8 +635,8 @@
 LIMITED = Customer("alice", None, Quota(1000.0, 1000.0, True, 200))
 
 
-def name_customers(world: FrontWorld, **keys: Customer) -> None:
-    """Has callers need keys, in a configuration that was just confirmed."""
+def require_keys(world: FrontWorld, **keys: Customer) -> None:
+    """Has the front require keys, by a configuration confirmed just now."""
     table = world.front.table
     known = {digest_key(key.encode()): c for key, c in keys.items()}
     world.front.table = RouteTable(
@@ -638,11 +645,11 @@
         table.services.values(),
         customers=Customers(tuple(keys.values()), known),
     )
-    set_age(world, 0.0)
+    set_configuration_age(world, 0.0)
 
 
-def set_age(world: FrontWorld, age: float) -> None:
-    """Has the front know its configuration as of some time ago."""
+def set_configuration_age(world: FrontWorld, age: float) -> None:
+    """Sets the age of the front's configuration, in seconds."""
     freshness = Freshness(1.2, asyncio.get_running_loop().time() - age)
     world.front._freshness = freshness
     world.front._revocation = 4.5
@@ -652,7 +659,7 @@
     async def test_the_upstream_learns_the_customer_and_not_the_key(
         self, world: FrontWorld
     ) -> None:
-        name_customers(world, k1=LIMITED)
+        require_keys(world, k1=LIMITED)
         upstream = await world.add("u1", answer_ok)
         client = await world.open()
         answer = await client.ask("/safe/x", credential="k1", tenant="bob")
@@ -661,7 +668,7 @@
         assert "k1" not in upstream.calls[0].head
 
     async def test_an_unknown_key_is_refused(self, world: FrontWorld) -> None:
-        name_customers(world, k1=LIMITED)
+        require_keys(world, k1=LIMITED)
         upstream = await world.add("u1", answer_ok)
         answer = await (await world.open()).ask("/safe/x", credential="k2")
         assert (answer.status, upstream.calls) == (401, [])
@@ -669,21 +676,21 @@
     async def test_a_key_that_has_just_been_added_is_waited_for(
         self, world: FrontWorld
     ) -> None:
-        name_customers(world, k1=LIMITED)
+        require_keys(world, k1=LIMITED)
         await world.add("u1", answer_ok)
         client = await world.open()
         asked = asyncio.create_task(client.ask("/safe/x", credential="k2"))
         await asyncio.sleep(0.05)
-        name_customers(world, k1=LIMITED, k2=Customer("bob"))
+        require_keys(world, k1=LIMITED, k2=Customer("bob"))
         world.front.discovery_signal.note()
         assert (await asked).status == 200
 
-    async def test_no_key_is_served_once_it_may_have_been_taken_away(
+    async def test_no_key_is_served_once_it_may_have_been_revoked(
         self, world: FrontWorld
     ) -> None:
-        name_customers(world, k1=LIMITED)
+        require_keys(world, k1=LIMITED)
         upstream = await world.add("u1", answer_ok)
-        set_age(world, 4.6)
+        set_configuration_age(world, 4.6)
         answer = await (await world.open()).ask("/safe/x", credential="k1")
         assert (answer.status, upstream.calls) == (503, [])
         assert float(answer.headers["retry-after"]) > 0
@@ -694,7 +701,7 @@
         messages: list[object] = []
         add_destinations(messages.append)
         try:
-            name_customers(world, s3cret=LIMITED)
+            require_keys(world, s3cret=LIMITED)
             await world.add("u1", reset)
             client = await world.open()
             await client.ask("/safe/x", credential="s3cret")
@@ -711,9 +718,10 @@
     async def test_a_front_that_has_just_started_waits_for_news(
         self, world: FrontWorld
     ) -> None:
-        # Load pattern: seven tenths of the fronts are killed under a customer
-        # far beyond its limit. Each would spend twice its own part at once.
-        name_customers(world, k1=LIMITED)
+        # When seven tenths of the fronts are killed while a customer is far
+        # beyond its quota, each restarted front would admit twice its own share
+        # at once if it didn't wait for news.
+        require_keys(world, k1=LIMITED)
         client = await world.open()
         asked = asyncio.create_task(client.ask("/safe/x", credential="k1"))
         await asyncio.sleep(0.05)
@@ -724,10 +732,10 @@
         world.front.discovery_signal.note()
         assert (await asked).status == 429
 
-    async def test_what_lies_beyond_the_limit_is_refused_at_once(
+    async def test_a_request_beyond_the_quota_is_refused_at_once(
         self, world: FrontWorld
     ) -> None:
-        name_customers(world, k1=LIMITED)
+        require_keys(world, k1=LIMITED)
         upstream = await world.add("u1", answer_ok)
         now = asyncio.get_running_loop().time()
         states = {"alice": RateState(0.0, -9.0)}
@@ -739,16 +747,16 @@
     async def test_a_customer_without_a_limit_is_not_counted(
         self, world: FrontWorld
     ) -> None:
-        name_customers(world, k1=Customer("free"))
+        require_keys(world, k1=Customer("free"))
         await world.add("u1", answer_ok)
         client = await world.open()
         assert (await client.ask("/safe/x", credential="k1")).status == 200
         assert not world.front.quotas.collect_uses()
 
-    async def test_a_retry_of_ours_is_counted_once(
+    async def test_a_retry_by_the_front_is_counted_once(
         self, world: FrontWorld
     ) -> None:
-        name_customers(world, k1=LIMITED)
+        require_keys(world, k1=LIMITED)
         await world.add("u1", refuse)
         await world.add("u2", answer_ok)
         for _ in range(3):
@@ -756,18 +764,18 @@
             assert (await client.ask("/safe/x", credential="k1")).status == 200
         assert world.front.quotas.collect_uses() == {"alice": RateUse(600, 600)}
 
-    async def test_what_has_not_run_is_not_counted(
+    async def test_a_request_that_has_not_run_is_not_counted(
         self, world: FrontWorld
     ) -> None:
-        name_customers(world, k1=LIMITED)
+        require_keys(world, k1=LIMITED)
         await world.add("u1", refuse)
         client = await world.open()
         assert (await client.ask("/safe/x", credential="k1")).status == 503
         assert world.front.quotas.collect_uses() == {"alice": RateUse()}
 
 
-class Ends(KeptTelemetry):
-    """Keeps the ends of requests."""
+class EndTelemetry(KeptTelemetry):
+    """Telemetry that records the ends of requests."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -777,18 +785,23 @@
         self.ends.append(end)
 
 
-class TestFigures:
-    async def test_a_refusal_is_not_in_time_however_soon_it_comes(
+class TestMetrics:
+    async def test_a_refusal_never_counts_as_in_time(
         self, world: FrontWorld
     ) -> None:
-        name_customers(world, k1=LIMITED)
+        require_keys(world, k1=LIMITED)
         await world.add("u1", answer_ok)
-        world.front.telemetry = ends = Ends()
+        world.front.telemetry = ends = EndTelemetry()
         client = await world.open()
         await client.ask("/safe/x", credential="k1")
         states = {"alice": RateState(0.0, -9.0)}
         now = asyncio.get_running_loop().time()
         world.front.quotas.apply_news(states, 1, now)
         await client.ask("/safe/x", credential="k1")
-        told = [(end.customer, end.outcome, end.in_time) for end in ends.ends]
-        assert told == [("alice", "served", True), ("alice", "refused", False)]
+        recorded = [
+            (end.customer, end.outcome, end.in_time) for end in ends.ends
+        ]
+        assert recorded == [
+            ("alice", "served", True),
+            ("alice", "refused", False),
+        ]
--- a/testing/app/test_quarantine.py
+++ b/testing/app/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Tests of a front's part in finding requests that end their upstreams."""
+"""Tests of detecting and refusing requests that end their upstreams."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -29,13 +29,20 @@
 
 
 def upstream(number: int) -> Upstream:
-    """Returns a start of an upstream."""
+    """Returns the upstream with a number."""
     return Upstream(f"i-{number}", "plain", f"10.0.1.{number}:80", "a", 4)
 
 
 @attrs.define
 class SharedLog:
-    """Commands of all fronts, and the state that they make."""
+    """A log that all fronts share, and the state after its commands.
+
+    Attributes:
+        state: after all commands.
+        commands: that were proposed and applied.
+        is_led: whether there is a leader; proposals fail otherwise.
+        watchers: called with the state after each command.
+    """
 
     state: State = attrs.Factory(State)
     commands: list[Any] = attrs.Factory(list)
@@ -43,7 +50,7 @@
     watchers: list[Any] = attrs.Factory(list)
 
     async def propose(self, command: Any, timeout: float) -> Any:
-        """Applies a command, and tells those who watch."""
+        """Applies a command and calls the watchers."""
         if not self.is_led:
             await asyncio.sleep(0.01)
             raise UnavailableError("no leader")
@@ -57,7 +64,14 @@
 
 @attrs.define
 class Fronts:
-    """Two fronts that share a log; upstreams in `gone` refuse channels."""
+    """Two fronts that share a log.
+
+    Attributes:
+        log: the log.
+        first: the quarantine of one front.
+        second: the quarantine of the other front.
+        gone: addresses of upstreams that refuse connections.
+    """
 
     log: SharedLog
     first: Quarantine
@@ -67,7 +81,7 @@
     async def cut(
         self, front: Quarantine, number: int, *identities: Identity
     ) -> None:
-        """Has a front see an upstream break requests off."""
+        """Has a front observe that an upstream cut requests."""
         for identity in identities:
             front.record_cut(upstream(number), identity)
         await asyncio.sleep(0.06)
@@ -80,7 +94,7 @@
 
 @pytest.fixture
 async def fronts(monkeypatch: pytest.MonkeyPatch) -> AsyncIterator[Fronts]:
-    """Returns two fronts, before upstreams that are all gone."""
+    """Yields two fronts whose upstreams are all gone."""
     monkeypatch.setattr(quarantine, "_MAX_KEY_DELAY_SECONDS", 0.0)
     log = SharedLog()
     gone = {upstream(number).address for number in range(9)}
@@ -88,15 +102,15 @@
     async def is_refused(address: str) -> bool:
         return address in gone
 
-    made = Fronts(log, Quarantine(is_refused), Quarantine(is_refused), gone)
-    log.watchers = [made.first.apply_state, made.second.apply_state]
+    created = Fronts(log, Quarantine(is_refused), Quarantine(is_refused), gone)
+    log.watchers = [created.first.apply_state, created.second.apply_state]
     await log.propose(ClearSuspects(()), 1.0)
     tasks = [
         asyncio.create_task(front.run(log.propose))
-        for front in (made.first, made.second)
+        for front in (created.first, created.second)
     ]
     await asyncio.sleep(0.01)
-    yield made
+    yield created
     for task in tasks:
         task.cancel()
 
@@ -111,18 +125,19 @@
             assert fronts.is_refused(front, HARMFUL)
             assert not fronts.is_refused(front, HARMLESS)
 
-    async def test_a_caller_with_several_addresses_is_one(
+    async def test_a_request_from_several_addresses_counts_as_one(
         self, fronts: Fronts
     ) -> None:
-        # Its requests came to fronts of three data centres, each of which sees
-        # addresses of its own: of 417 requests none came from another one's.
+        # Fronts in three data centres saw one caller under different addresses:
+        # none of its 417 requests came from an address that a front of another
+        # data centre saw.
         for number in (1, 2, 3):
             source = attrs.evolve(HARMFUL, caller=f"10.{number}.0.1")
             await fronts.cut(fronts.first, number, source)
         source = attrs.evolve(HARMFUL, caller="10.4.0.1")
         assert fronts.is_refused(fronts.second, source)
 
-    async def test_an_upstream_that_is_there_has_not_ended(
+    async def test_an_upstream_that_accepts_connections_has_not_ended(
         self, fronts: Fronts
     ) -> None:
         fronts.gone.clear()
@@ -134,14 +149,16 @@
             for command in fronts.log.commands
         )
 
-    async def test_all_that_one_end_cuts_is_told_at_once(
+    async def test_the_requests_cut_by_one_end_are_reported_together(
         self, fronts: Fronts
     ) -> None:
         await fronts.cut(fronts.first, 1, HARMFUL, HARMLESS, HARMFUL)
-        told = [c for c in fronts.log.commands if type(c) is NoteUpstreamEnd]
-        assert [len(command.aboard) for command in told] == [2]
+        reported = [
+            c for c in fronts.log.commands if type(c) is NoteUpstreamEnd
+        ]
+        assert [len(command.aboard) for command in reported] == [2]
 
-    async def test_a_front_counts_its_own_while_nobody_leads(
+    async def test_a_front_counts_its_own_observations_without_a_leader(
         self, fronts: Fronts
     ) -> None:
         await fronts.cut(fronts.second, 1, HARMFUL)
@@ -154,7 +171,7 @@
         await asyncio.sleep(0.1)
         assert fronts.is_refused(fronts.second, HARMFUL)
 
-    async def test_a_front_that_starts_knows_what_the_log_knows(
+    async def test_a_front_that_starts_reads_suspects_from_the_log(
         self, fronts: Fronts
     ) -> None:
         for number in (1, 2, 3):
@@ -167,14 +184,16 @@
         started.apply_state(State.load(fronts.log.state.dump(with_once=False)))
         assert fronts.is_refused(started, HARMFUL)
 
-    async def test_there_is_one_key(self, fronts: Fronts) -> None:
-        drawn = [c for c in fronts.log.commands if type(c) is PutFingerprintKey]
-        assert drawn
-        assert fronts.log.state.fingerprint_key == drawn[0].key
+    async def test_all_fronts_use_the_first_key(self, fronts: Fronts) -> None:
+        key_commands = [
+            c for c in fronts.log.commands if type(c) is PutFingerprintKey
+        ]
+        assert key_commands
+        assert fronts.log.state.fingerprint_key == key_commands[0].key
 
 
 class TestAnswers:
-    async def test_a_whole_answer_anywhere_clears_a_request(
+    async def test_a_complete_answer_at_any_front_clears_a_request(
         self, fronts: Fronts
     ) -> None:
         await fronts.cut(fronts.first, 1, HARMLESS)
@@ -187,22 +206,23 @@
         await fronts.cut(fronts.first, 3, HARMLESS)
         assert not fronts.is_refused(fronts.first, HARMLESS)
 
-    async def test_what_was_answered_a_moment_ago_is_not_suspected(
+    async def test_a_request_that_was_just_answered_is_not_suspected(
         self, fronts: Fronts
     ) -> None:
-        # One that everybody sends, word for word, is aboard of whatever ends:
-        # three upstreams ended within a second, and it was refused for a
-        # quarter of one, though it had been answered all the time before.
+        # A request that all clients send alike is in progress at any upstream
+        # that ends. When three upstreams ended within a second, such a request
+        # was refused for a quarter of a second, though it had been answered all
+        # the time.
         for number in (1, 2, 3):
             fronts.first.record_answered(HARMLESS.local_hash())
             await fronts.cut(fronts.first, number, HARMFUL, HARMLESS)
         assert not fronts.is_refused(fronts.first, HARMLESS)
         assert fronts.is_refused(fronts.first, HARMFUL)
 
-    async def test_an_answer_of_long_ago_says_nothing(
+    async def test_an_old_answer_does_not_clear_a_request(
         self, fronts: Fronts, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        # It may end upstreams of a later version.
+        # The request may end upstreams of a version that came later.
         monkeypatch.setattr(recent_answers, "_RETENTION_SECONDS", 0.01)
         fronts.first.record_answered(HARMFUL.local_hash())
         await asyncio.sleep(0.02)
@@ -221,30 +241,32 @@
 
 
 class TestCost:
-    async def test_a_whole_request_is_hashed_only_beside_a_suspect(
+    async def test_a_request_is_hashed_only_if_its_target_is_suspected(
         self, fronts: Fronts, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        taken: list[Identity] = []
-        take = Fingerprinter.compute
+        hashed: list[Identity] = []
+        compute = Fingerprinter.compute
 
-        def note(self: Fingerprinter, identity: Identity) -> Any:
-            taken.append(identity)
-            return take(self, identity)
+        def compute_and_record(self: Fingerprinter, identity: Identity) -> Any:
+            hashed.append(identity)
+            return compute(self, identity)
 
-        monkeypatch.setattr(Fingerprinter, "compute", note)
+        monkeypatch.setattr(Fingerprinter, "compute", compute_and_record)
         assert fronts.first.find_suspect(HARMFUL) is None
-        assert not taken
+        assert not hashed
         await fronts.cut(fronts.first, 1, HARMFUL)
-        taken.clear()
+        hashed.clear()
         elsewhere = attrs.evolve(HARMFUL, target=b"/other")
         assert fronts.second.find_suspect(elsewhere) is None
-        assert not taken
+        assert not hashed
         assert fronts.second.find_suspect(HARMLESS) is None
-        assert taken == [HARMLESS]
+        assert hashed == [HARMLESS]
 
 
 class TestForwarding:
-    async def test_the_fourth_send_is_refused_for_long(self) -> None:
+    async def test_the_fourth_attempt_is_refused_with_a_long_retry_delay(
+        self,
+    ) -> None:
         world = FrontWorld()
         await world.start()
         log = SharedLog()
@@ -276,10 +298,11 @@
         assert (await client.ask("/unsafe/x", b"other")).status == 200
         await world.stop()
 
-    async def test_an_answer_that_ends_with_its_channel_clears_nobody(
+    async def test_an_answer_that_ends_with_its_channel_clears_no_request(
         self,
     ) -> None:
-        # Without a length, an end of the upstream looks like the answer's.
+        # Without a length, the end of the answer can't be told from the end of
+        # the upstream.
         world = FrontWorld()
         await world.start()
 
@@ -288,21 +311,21 @@
             call.writer.close()
 
         await world.add("u1", answer)
-        noted: list[int] = []
-        world.front.quarantine.record_answered = noted.append  # type: ignore
+        recorded: list[int] = []
+        world.front.quarantine.record_answered = recorded.append  # type: ignore
         client = await world.open()
         assert (await client.ask("/unsafe/x", b"b")).status == 200
-        assert not noted
+        assert not recorded
         await world.stop()
 
 
 class TestCommands:
-    def test_a_cleared_request_is_told_by_its_whole(self) -> None:
-        taken = Fingerprinter(b"key").compute(HARMLESS)
+    def test_a_request_is_cleared_by_its_whole_fingerprint(self) -> None:
+        fingerprint = Fingerprinter(b"key").compute(HARMLESS)
         state = State()
         for index, name in enumerate(("i-1", "i-2"), start=1):
-            noted = NoteUpstreamEnd(name, (taken,))
-            state.apply(Entry(index, 1, codec.encode(noted)))
-        cleared = ClearSuspects((taken,))
+            recorded = NoteUpstreamEnd(name, (fingerprint,))
+            state.apply(Entry(index, 1, codec.encode(recorded)))
+        cleared = ClearSuspects((fingerprint,))
         state.apply(Entry(3, 1, codec.encode(cleared)))
         assert not state.suspects
--- a/testing/app/test_unknown_field_log.py
+++ b/testing/app/test_unknown_field_log.py
@@ -1,4 +1,4 @@
-"""Tests of the log of words that nothing reads."""
+"""Tests of the log of header and field names that are unknown."""
 
 import eliot.testing
 
@@ -7,20 +7,20 @@
 from testing.app.front_world import Call, FrontWorld
 
 
-class CountedWords(KeptTelemetry):
-    """Keeps the words that it is told."""
+class CountingTelemetry(KeptTelemetry):
+    """Telemetry that records the names that it counts."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.words: list[str] = []
+        self.unknown_field_log: list[str] = []
 
     def note_unknown_word(self, word: str) -> None:
-        """Keeps a word."""
-        self.words.append(word)
+        """Records the name."""
+        self.unknown_field_log.append(word)
 
 
 def logged(logger: eliot.MemoryLogger) -> list[tuple[str, str]]:
-    """Returns the upstreams and words that were logged."""
+    """Returns the upstream and the name in each logged message."""
     return [
         (message["upstream"], message["word"])
         for message in logger.messages
@@ -28,36 +28,40 @@
     ]
 
 
-class TestUnknownWords:
-    def test_each_start_is_logged_once_and_each_word_counted(self) -> None:
-        counted = CountedWords()
-        words = UnknownFieldLog(lambda: counted)
+class TestUnknownFieldLog:
+    def test_a_name_is_logged_once_per_incarnation_and_always_counted(
+        self,
+    ) -> None:
+        telemetry = CountingTelemetry()
+        unknown_field_log = UnknownFieldLog(lambda: telemetry)
         logger = eliot.MemoryLogger()
-        before = eliot.testing.swap_logger(logger)
+        previous = eliot.testing.swap_logger(logger)
         try:
             for start in ("u1#1", "u1#1", "u1#2"):
-                words.record(start, "10.0.0.1:80", "answer", ["server-mood"])
+                unknown_field_log.record(
+                    start, "10.0.0.1:80", "answer", ["server-mood"]
+                )
         finally:
-            eliot.testing.swap_logger(before)
+            eliot.testing.swap_logger(previous)
         assert logged(logger) == [
             ("u1#1", "server-mood"),
             ("u1#2", "server-mood"),
         ]
-        assert counted.words == ["server-mood"] * 3
+        assert telemetry.unknown_field_log == ["server-mood"] * 3
 
-    async def test_a_front_takes_them_from_answers(
+    async def test_a_front_logs_unknown_headers_of_answers(
         self, world: FrontWorld
     ) -> None:
-        async def say_more(call: Call) -> None:
+        async def answer_with_unknown_header(call: Call) -> None:
             await call.answer(200, b"x", "Server-Stamp: s", "Server-Mood: sad")
 
-        await world.add("u1", say_more)
+        await world.add("u1", answer_with_unknown_header)
         client = await world.open()
         logger = eliot.MemoryLogger()
-        before = eliot.testing.swap_logger(logger)
+        previous = eliot.testing.swap_logger(logger)
         try:
             for _ in range(3):
                 await client.ask("/safe/x")
         finally:
-            eliot.testing.swap_logger(before)
+            eliot.testing.swap_logger(previous)
         assert logged(logger) == [("u1", "server-mood")]
--- a/testing/app/test_upstream_words.py
+++ b/testing/app/test_upstream_words.py
@@ -1,10 +1,10 @@
-"""What an upstream says in its answers: that it rests, and that it leaves.
+"""Tests of how a front handles what upstreams state in their answers.
 
-Upstreams that were full turned fronts away and asked for 3 s without requests.
-A front took that for one failure among others: it sent three, paused for 1.5 s
-of its own, sent three more, and paused for 3 s (at 6.12, 6.48, 6.53, 8.18,
-8.34, 8.49 and 8.60 s). What one had turned away went to the other one that
-rested, and its caller was refused after both.
+An upstream can ask for a pause in requests, and can announce that it leaves. A
+front once counted a request for a pause of 3 s as an ordinary failure: it sent
+three requests, paused for 1.5 s, sent three more and paused for 3 s. Requests
+that one pausing upstream refused went to another pausing one, and were refused
+after both.
 """
 
 import asyncio
@@ -27,8 +27,8 @@
 
 ADAPTER = "base/a1"
 STREAM = {"model": ADAPTER, "token_counts": "10,70"}
-RESTS = "Retry-After: 0.6"
-LEAVES = "Server-Leaving: 1"
+_REST_HEADER = "Retry-After: 0.6"
+_LEAVING_HEADER = "Server-Leaving: 1"
 _NOT_RUN = "Not-Run: 1"
 
 
@@ -37,15 +37,15 @@
 
 
 async def leave(call: Call) -> None:
-    await call.answer(200, b"x", "Server-Stamp: s1", LEAVES)
+    await call.answer(200, b"x", "Server-Stamp: s1", _LEAVING_HEADER)
 
 
 async def ask_for_rest(call: Call) -> None:
-    await call.answer(503, b"", _NOT_RUN, RESTS)
+    await call.answer(503, b"", _NOT_RUN, _REST_HEADER)
 
 
-def once(first: Script, then: Script) -> Script:
-    """Returns a script that begins differently from how it goes on."""
+def first_then(first: Script, then: Script) -> Script:
+    """Returns a script that handles the first request differently."""
 
     async def run(call: Call) -> None:
         await (first if call.number == 0 else then)(call)
@@ -57,7 +57,7 @@
     async def test_an_upstream_gets_nothing_until_its_rest_is_over(
         self, world: FrontWorld
     ) -> None:
-        resting = await world.add("u1", once(ask_for_rest, answer_ok))
+        resting = await world.add("u1", first_then(ask_for_rest, answer_ok))
         client = await world.open()
         refused = await client.ask("/safe/x")
         assert refused.status == 503
@@ -68,7 +68,7 @@
         await asyncio.sleep(0.4)
         assert (await client.ask("/safe/x")).status == 200
 
-    async def test_one_that_has_rested_is_not_out_of_use_beside_that(
+    async def test_a_rest_does_not_also_eject_the_upstream(
         self, world: FrontWorld
     ) -> None:
         async def rest_thrice(call: Call) -> None:
@@ -86,7 +86,7 @@
             "plain", asyncio.get_running_loop().time()
         )
 
-    async def test_a_client_is_told_when_the_first_one_is_back(
+    async def test_the_retry_delay_lasts_until_the_first_rest_is_over(
         self, world: FrontWorld
     ) -> None:
         await world.add("u1", ask_for_rest)
@@ -96,7 +96,9 @@
         assert refused.status == 503
         assert 0.4 <= float(refused.headers["retry-after"]) <= 0.6
 
-    async def test_others_serve_meanwhile(self, world: FrontWorld) -> None:
+    async def test_other_upstreams_serve_during_a_rest(
+        self, world: FrontWorld
+    ) -> None:
         resting = await world.add("u1", ask_for_rest)
         await world.add("u2", answer_ok)
         client = await world.open()
@@ -104,7 +106,7 @@
             assert (await client.ask("/safe/x")).status == 200
         assert len(resting.calls) <= 1
 
-    async def test_the_owner_s_choice_is_looked_at_too(
+    async def test_an_owner_s_choice_that_rests_is_not_used(
         self, world: FrontWorld
     ) -> None:
         resting = await world.add("u1", ask_for_rest, "engine", base__a1=1)
@@ -115,7 +117,7 @@
             assert (await client.ask("/stream/x", **STREAM)).status == 200
         assert len(resting.calls) == 1
 
-    async def test_an_upstream_that_asks_while_a_load_is_awaited(
+    async def test_an_upstream_that_asks_for_rest_during_a_load_is_avoided(
         self, world: FrontWorld
     ) -> None:
         resting = await world.add("u1", ask_for_rest, "engine")
@@ -132,7 +134,8 @@
         client, second = await world.open(), await world.open()
         await client.send("/stream/x", **STREAM)
         await asyncio.sleep(0.1)
-        # The first one is turned away while this one waits for its load.
+        # The upstream refuses the first request while this one waits for its
+        # load.
         await second.send("/stream/x", **STREAM)
         assert (await client.read()).status == 200
         assert (await second.read()).status == 200
@@ -141,18 +144,18 @@
         assert "u1" in wants[-1].avoid
 
     @pytest.mark.parametrize("asked", ["-3", "soon", "9" * 30, "1e9", ""])
-    async def test_what_can_not_be_granted_takes_nobody_out_for_long(
+    async def test_an_invalid_rest_is_ignored(
         self, world: FrontWorld, asked: str
     ) -> None:
         async def ask(call: Call) -> None:
             await call.answer(503, b"", _NOT_RUN, f"Retry-After: {asked}")
 
-        await world.add("u1", once(ask, answer_ok))
+        await world.add("u1", first_then(ask, answer_ok))
         client = await world.open()
         await client.ask("/safe/x")
         assert (await client.ask("/safe/x")).status == 200
 
-    async def test_a_long_rest_is_cut_to_a_minute(
+    async def test_a_rest_is_limited_to_a_minute(
         self, world: FrontWorld
     ) -> None:
         async def ask(call: Call) -> None:
@@ -167,11 +170,15 @@
 
 class TestLeaving:
     @pytest.mark.parametrize("status", [200, 500, 503])
-    async def test_one_that_leaves_gets_nothing_more(
+    async def test_an_upstream_that_leaves_gets_no_more_requests(
         self, world: FrontWorld, status: int
     ) -> None:
         async def leave(call: Call) -> None:
-            lines = (LEAVES, _NOT_RUN) if status == 503 else (LEAVES,)
+            lines = (
+                (_LEAVING_HEADER, _NOT_RUN)
+                if status == 503
+                else (_LEAVING_HEADER,)
+            )
             await call.answer(status, b"x", "Server-Stamp: s1", *lines)
 
         leaving = await world.add("u1", leave)
@@ -180,7 +187,7 @@
         assert (await client.ask("/unsafe/x", b"b")).status == 503
         assert len(leaving.calls) == 1
 
-    async def test_news_that_still_call_it_ready_change_nothing(
+    async def test_news_that_call_a_leaving_upstream_ready_are_ignored(
         self, world: FrontWorld
     ) -> None:
         leaving = await world.add("u1", leave)
@@ -193,10 +200,12 @@
         assert (await client.ask("/unsafe/x", b"b")).status == 503
         assert len(leaving.calls) == 1
 
-    async def test_the_owner_is_told_once(self, world: FrontWorld) -> None:
+    async def test_a_departure_is_reported_to_the_owner_once(
+        self, world: FrontWorld
+    ) -> None:
         async def leave(call: Call) -> None:
             await asyncio.sleep(0.05)
-            await call.answer(200, b"x", "Server-Stamp: s1", LEAVES)
+            await call.answer(200, b"x", "Server-Stamp: s1", _LEAVING_HEADER)
 
         await world.add("u1", leave)
         first, second = await world.open(), await world.open()
@@ -206,7 +215,7 @@
         assert (await second.read()).status == 200
         assert world.fleet.leaves == [HeardLeave("u1")]
 
-    async def test_an_owner_that_calls_it_ready_is_told_again(
+    async def test_a_departure_that_the_owner_missed_is_reported_again(
         self, world: FrontWorld
     ) -> None:
         await world.add("u1", leave)
@@ -221,7 +230,7 @@
         await asyncio.sleep(0.01)
         assert len(world.fleet.leaves) == 2
 
-    async def test_it_is_remembered_while_news_do_not_name_it(
+    async def test_a_departure_is_remembered_while_news_lack_the_upstream(
         self, world: FrontWorld
     ) -> None:
         await world.add("u1", leave)
@@ -234,7 +243,7 @@
         unavailable.discard_except((), now + 200.0)
         assert not unavailable.is_leaving("u1")
 
-    async def test_the_start_that_follows_is_used(
+    async def test_the_next_incarnation_of_an_upstream_is_used(
         self, world: FrontWorld
     ) -> None:
         await world.add("u1", leave)
@@ -245,7 +254,7 @@
 
 
 class TestReplaced:
-    async def test_an_address_that_another_one_has_gets_no_more_requests(
+    async def test_an_address_of_another_instance_gets_no_more_requests(
         self, world: FrontWorld
     ) -> None:
         async def misdirect(call: Call) -> None:
@@ -257,13 +266,13 @@
             assert (await client.ask("/safe/x")).status == 503
         assert len(replaced.calls) == 1
 
-    async def test_one_that_lacks_what_is_asked_for_is_still_there(
+    async def test_an_upstream_that_lacks_an_artifact_stays_in_use(
         self, world: FrontWorld
     ) -> None:
         async def lack(call: Call) -> None:
             await call.answer(421, b"", "Instance-Id: u1")
 
-        await world.add("u1", once(lack, answer_ok))
+        await world.add("u1", first_then(lack, answer_ok))
         client = await world.open()
         await client.ask("/safe/x")
         assert (await client.ask("/safe/x")).status == 200
@@ -271,11 +280,11 @@
 
 class TestOrders:
     @pytest.mark.parametrize("status", [202, 409])
-    async def test_an_answer_to_an_order_says_it_as_well(
+    async def test_an_answer_to_an_order_can_announce_a_departure(
         self, world: FrontWorld, status: int
     ) -> None:
         async def leave(call: Call) -> None:
-            await call.answer(status, b"{}", LEAVES)
+            await call.answer(status, b"{}", _LEAVING_HEADER)
 
         engine = await world.add("e1", leave, "engine")
         order = FleetOrder(
