--- a/src/ridgesill/app/entry.py
+++ b/src/ridgesill/app/entry.py
@@ -219,7 +219,7 @@
     ) -> Result[Admission, Refusal]:
         candidates = self._candidate_pools(target)
         if not candidates:
-            detail = "the service has no runner in an allowed data centre"
+            detail = "no runner of it stands in an allowed data centre"
             return Err(Refusal(NO_RUNNER, detail, 2.0, target.team))
         key = target.adapter or call.request
         refusals = []
@@ -313,13 +313,7 @@
             # While the request waited, the configuration may have withdrawn
             # the data centre.
             self.finish(admission)
-            return Err(
-                Refusal(
-                    STALE,
-                    "the configuration went stale while the request waited",
-                    2.0,
-                )
-            )
+            return Err(Refusal(STALE, "freshness was lost while waiting", 2.0))
         return Ok(admission)
 
     def _owner_address(self, pool: str) -> str:
--- a/src/ridgesill/app/exchange.py
+++ b/src/ridgesill/app/exchange.py
@@ -281,7 +281,7 @@
                 self._keep_body(kept, chunk)
                 yield chunk
             if response.status == 200 and _DONE_MARK not in tail:
-                raise CutError("the runner's stream ended without its end mark")
+                raise CutError("the runner's stream ended early")
             outcome = calls.COMPLETED
             response.release()
         except AnswerCutError as error:
