--- a/src/ridgesill/app/fleet_engines.py
+++ b/src/ridgesill/app/fleet_engines.py
@@ -129,7 +129,7 @@
                 state=upstream.state,
             )
         if heartbeat.unknown:
-            self._orders.unknown_words.note(
+            self._orders.unknown_field_log.record(
                 upstream.name, upstream.address, "heartbeat", heartbeat.unknown
             )
         if previous_start is not None and previous_start.name != upstream.name:
