--- a/src/ridgesill/app/account.py
+++ b/src/ridgesill/app/account.py
@@ -76,11 +76,11 @@
     customers: dict[str, tuple[int, int]]
 
 
-class NoEndsError(Exception):
+class NoRequestEndsError(Exception):
     """No line of the files tells the end of a request."""
 
 
-def read_ends(lines: Iterable[dict[str, Any]]) -> Iterator[End]:
+def read_request_ends(lines: Iterable[dict[str, Any]]) -> Iterator[End]:
     """Yields the ends that log lines tell."""
     for line in lines:
         if line.get("message_type") == "request:end":
@@ -128,12 +128,12 @@
     """Returns the account of the requests that lines tell of.
 
     Raises:
-        NoEndsError: they tell of none.
+        NoRequestEndsError: they tell of none.
     """
-    read = list(read_ends(lines))
+    read = list(read_request_ends(lines))
     ends = [end for end in read if end.reason not in _NOT_OWED]
     if not ends:
-        raise NoEndsError(
+        raise NoRequestEndsError(
             "no line tells the end of a request; give the logs of all fronts"
         )
     began_at = min(end.at for end in ends)
@@ -166,7 +166,7 @@
     return counts
 
 
-def show_account(account: Account) -> str:
+def format_account(account: Account) -> str:
     """Returns an account as text."""
     lost = account.ends - account.in_time
     lines = [
--- a/src/ridgesill/app/change_signal.py
+++ b/src/ridgesill/app/change_signal.py
@@ -9,12 +9,12 @@
     def __init__(self) -> None:
         self._changed = asyncio.Event()
 
-    def note(self) -> None:
+    def notify(self) -> None:
         """Wakes everyone who waits now."""
         self._changed.set()
         self._changed = asyncio.Event()
 
-    async def within(self, seconds: float) -> bool:
+    async def wait(self, seconds: float) -> bool:
         """Returns whether there is a change within some seconds."""
         try:
             await asyncio.wait_for(self._changed.wait(), seconds)
--- a/src/ridgesill/app/cli.py
+++ b/src/ridgesill/app/cli.py
@@ -33,7 +33,7 @@
         Args:
             settings: path of the node's settings file.
         """
-        from ridgesill.app.found import found_log
+        from ridgesill.app.log_founding import found_log
         from ridgesill.app.settings import read_settings
 
         read = read_settings(settings)
@@ -103,15 +103,15 @@
                 are passed over.
         """
         from ridgesill.app.account import (
-            NoEndsError,
+            NoRequestEndsError,
+            format_account,
             make_account,
-            show_account,
         )
         from ridgesill.app.explain import read_lines
 
         try:
-            return show_account(make_account(read_lines(map(str, files))))
-        except (OSError, NoEndsError) as error:
+            return format_account(make_account(read_lines(map(str, files))))
+        except (OSError, NoRequestEndsError) as error:
             raise CommandError(str(error)) from error
 
     def quarantine(self, control: str) -> str:
--- a/src/ridgesill/app/control.py
+++ b/src/ridgesill/app/control.py
@@ -168,7 +168,7 @@
         deadline = self._loop.time() + timeout
         while self.state.version < version:
             left = deadline - self._loop.time()
-            if left <= 0 or not await self._applied.within(left):
+            if left <= 0 or not await self._applied.wait(left):
                 return
 
     def add_listener(self, watcher: Callable[[], None]) -> None:
@@ -177,7 +177,7 @@
 
     def notify_applied(self) -> None:
         """Wakes everyone who waits for the state to change."""
-        self._applied.note()
+        self._applied.notify()
         for watcher in self._watchers:
             watcher()
 
@@ -312,7 +312,7 @@
         deadline = self._loop.time() + _APPLY_WAIT
         while self.state.index < index:
             left = deadline - self._loop.time()
-            if left <= 0 or not await self._applied.within(left):
+            if left <= 0 or not await self._applied.wait(left):
                 return
 
     # -- being followed ------------------------------------------------
@@ -326,7 +326,7 @@
         deadline = now + request.wait
         while self.state.index <= request.beat.applied:
             left = deadline - self._loop.time()
-            if left <= 0 or not await self._applied.within(left):
+            if left <= 0 or not await self._applied.wait(left):
                 break
         # One that knows nothing yet has clients waiting.
         if request.beat.applied and not request.beat.node.voter:
@@ -409,7 +409,7 @@
         index = await self._ask_latest(deadline)
         while index >= 0 and self.state.index < index:
             left = deadline - self._loop.time()
-            if left <= 0 or not await self._applied.within(left):
+            if left <= 0 or not await self._applied.wait(left):
                 index = -1
         if index < 0:
             raise UnavailableError(
--- a/src/ridgesill/app/control_process.py
+++ b/src/ridgesill/app/control_process.py
@@ -19,13 +19,13 @@
 from ridgesill.app.formation import Formation
 from ridgesill.app.log_driver import LogDriver, ReplicaMessage
 from ridgesill.app.platform_node import (
-    CONNECT_SECONDS,
+    CONNECT_TIMEOUT_SECONDS,
+    decode_newer_routes,
     make_control,
     make_node,
-    read_newer_table,
 )
 from ridgesill.app.telemetry import Instruments, serve_metrics
-from ridgesill.app.traffic import tell_traffic
+from ridgesill.app.traffic import log_traffic
 from ridgesill.core.addresses import split_address, with_port
 from ridgesill.core.fleet.messages import (
     HeardHeartbeat,
@@ -95,7 +95,7 @@
         self.owner = FleetOwner(
             self.control,
             self.fleet,
-            UpstreamChannels(CONNECT_SECONDS),
+            UpstreamChannels(CONNECT_TIMEOUT_SECONDS),
             PlatformEngines(),
             settings.bounds.lease,
             settings.heartbeat,
@@ -131,7 +131,7 @@
         return self.owner.relay.make_usage_report()
 
     def _note_state(self) -> None:
-        table = read_newer_table(self.control.state, self.owner.table)
+        table = decode_newer_routes(self.control.state, self.owner.table)
         if table is not None:
             self.owner.apply_table(table)
 
@@ -249,7 +249,7 @@
                     ),
                 )
             )
-            group.create_task(tell_traffic(self._peers.traffic))
+            group.create_task(log_traffic(self._peers.traffic))
 
     def _gauges(self, driver: LogDriver) -> dict[str, Callable[[], float]]:
         return {
--- a/src/ridgesill/app/exchange.py
+++ b/src/ridgesill/app/exchange.py
@@ -15,7 +15,12 @@
 from ridgesill.adapters.metrics import Metrics
 from ridgesill.app.bridge import Bridge
 from ridgesill.app.entry import Entry
-from ridgesill.app.once import KEPT_BODY_BYTES, Once, OnceKey, OnceResult
+from ridgesill.app.once import (
+    MAX_RECORDED_BODY_BYTES,
+    OnceKey,
+    OnceRecords,
+    OnceResult,
+)
 from ridgesill.core import calls, commands
 from ridgesill.core.calls import Admission, Call, Refusal
 from ridgesill.core.commands import OnceRecord
@@ -40,7 +45,7 @@
 
     bridge: Bridge
     entry: Entry
-    once: Once
+    once: OnceRecords
     runners: Runners
     metrics: Metrics
 
@@ -263,7 +268,7 @@
             self._end(outcome, admission)
 
     def _keep(self, kept: bytearray, chunk: bytes) -> None:
-        if self._once is not None and len(kept) <= KEPT_BODY_BYTES:
+        if self._once is not None and len(kept) <= MAX_RECORDED_BODY_BYTES:
             kept += chunk
 
     # -- ends ----------------------------------------------------------
--- a/src/ridgesill/app/fleet_owner.py
+++ b/src/ridgesill/app/fleet_owner.py
@@ -172,7 +172,7 @@
             self._orders,
             calls,
             self._leases.delivered_until,
-            self._news.note,
+            self._news.notify,
             self._loop.time,
             time_of_day,
         )
@@ -291,7 +291,7 @@
         self._limits.restore(view, now)
         for sent in self._follower.pending_reports.take_unassigned():
             self._count(sent, now)
-        self._news.note()
+        self._news.notify()
 
     def _give_up(self) -> None:
         if self._registry is None:
@@ -301,7 +301,7 @@
         self._engines.end()
         self._term = 0
         self._loads.end()
-        self._news.note()
+        self._news.notify()
 
     def _tick(self) -> None:
         registry = self._registry
@@ -456,7 +456,7 @@
         self._usage.record_report(sender, extract_usage(question), now)
         self._loads.handle_report()
         if self._limits.apply_limits(question.limits, now):
-            self._news.note()
+            self._news.notify()
         if question.used:
             self._placement.record_requests(question.used, now)
         return self._taken.handle_reports(
@@ -471,7 +471,7 @@
         now = self._loop.time()
         self._count(extract_sent(report, now), now)
         if self._quotas.has_limiting_rate(now):
-            self._news.note()
+            self._news.notify()
 
     def _count(self, sent: Sent, now: float) -> None:
         span = max(now - sent.since, 0.0)
--- a/src/ridgesill/app/forwarding.py
+++ b/src/ridgesill/app/forwarding.py
@@ -209,7 +209,7 @@
         caller = self._check_caller(route)
         while caller == Err(UNKNOWN_KEY) and self._facts.key_digest:
             left = deadline - self._loop.time()
-            if left <= 0 or not await self._front.learned.within(left):
+            if left <= 0 or not await self._front.learned.wait(left):
                 break
             if self._front.table.version != version:
                 caller = self._check_caller(route)
--- a/src/ridgesill/app/front_process.py
+++ b/src/ridgesill/app/front_process.py
@@ -14,13 +14,13 @@
 from ridgesill.app.forwarding import serve_request
 from ridgesill.app.front import Front
 from ridgesill.app.platform_node import (
-    CONNECT_SECONDS,
+    CONNECT_TIMEOUT_SECONDS,
+    decode_newer_routes,
     make_control,
     make_node,
-    read_newer_table,
 )
 from ridgesill.app.telemetry import Instruments, serve_metrics
-from ridgesill.app.traffic import tell_traffic
+from ridgesill.app.traffic import log_traffic
 from ridgesill.core.commands import Node
 from ridgesill.core.fleet.relays import find_relays
 from ridgesill.core.fleet.usage import UsageReport
@@ -86,7 +86,7 @@
         self.front = Front(
             Chooser(settings.data_centre, self.fleet.view, Outcomes()),
             self.fleet,
-            UpstreamChannels(CONNECT_SECONDS),
+            UpstreamChannels(CONNECT_TIMEOUT_SECONDS),
             PlatformDialect(),
             RetryBounds(
                 bounds.retry_share, bounds.retry_slack, bounds.retry_window
@@ -95,7 +95,7 @@
             bounds.revocation * _REVOCATION_SHARE,
             settings.vm,
         )
-        self.fleet.add_listener(self.front.learned.note)
+        self.fleet.add_listener(self.front.learned.notify)
         self.fleet.add_listener(self._note_news)
         self._callers = HttpListener(
             settings.callers, functools.partial(serve_request, self.front)
@@ -139,11 +139,11 @@
         self._relays = find_relays(self._node, state.nodes.values())
         self.front.versions = state.artifact_versions
         self.front.quarantine.take(state)
-        table = read_newer_table(state, self.front.table)
+        table = decode_newer_routes(state, self.front.table)
         if table is None:
             return
         self.front.table = table
-        self.front.learned.note()
+        self.front.learned.notify()
         if table.limits is not None:
             self._callers.limits = table.limits
         log_message(
@@ -200,7 +200,7 @@
                 METRICS_PATH,
                 Instruments(self._gauges(), self._swap_telemetry),
             ),
-            tell_traffic(self._peers.traffic),
+            log_traffic(self._peers.traffic),
         )
         tasks = [self._loop.create_task(work) for work in works]
         log_message(
--- a/src/ridgesill/app/found.py
+++ b/src/ridgesill/app/log_founding.py
@@ -9,7 +9,7 @@
 _FIRST_GENERATION = "0"
 
 
-def first_identity(name: str) -> str:
+def founding_identity(name: str) -> str:
     """Returns the voting identity of a founding node."""
     return f"{name}.{_FIRST_GENERATION}"
 
@@ -20,8 +20,8 @@
     To be called once for each seed before anything runs. A folder that was
     lost later must not be founded again: the node then joins by itself.
     """
-    identity = first_identity(settings.name)
-    voters = tuple(first_identity(name) for name in sorted(settings.seeds))
+    identity = founding_identity(settings.name)
+    voters = tuple(founding_identity(name) for name in sorted(settings.seeds))
     storage = FileLog(Path(settings.data_folder))
     storage.found(identity, make_initial_snapshot(voters, b""))
     return identity
--- a/src/ridgesill/app/news_relay.py
+++ b/src/ridgesill/app/news_relay.py
@@ -37,7 +37,7 @@
     began = loop.time()
     while not has_news():
         left = began + wait - loop.time()
-        if left <= 0 or not await changed.within(left):
+        if left <= 0 or not await changed.wait(left):
             break
     spacing = _NEWS_SECONDS + _NEWS_SECONDS_AN_ASKER * askers
     await asyncio.sleep(max(began + spacing - loop.time(), 0.0))
@@ -82,7 +82,7 @@
     def _take(self, news: FleetNews) -> None:
         self._news.apply_news(news)
         self._limits.discard_except(self._view.upstreams, self._loop.time())
-        self._changed.note()
+        self._changed.notify()
 
     def make_usage_report(self) -> UsageReport:
         """Returns what the fronts here use, to be told the owner."""
--- a/src/ridgesill/app/node.py
+++ b/src/ridgesill/app/node.py
@@ -26,7 +26,7 @@
 from ridgesill.app.entry import Entry, StateView
 from ridgesill.app.exchange import Exchanges, Services
 from ridgesill.app.log_driver import LogDriver, ReplicaMessage
-from ridgesill.app.once import Once
+from ridgesill.app.once import OnceRecords
 from ridgesill.app.pools import Pools
 from ridgesill.app.settings import Settings
 from ridgesill.core.commands import Node, ReleasePool
@@ -119,7 +119,7 @@
     # -- wiring --------------------------------------------------------
 
     def _heard_pools(self) -> tuple[str, ...]:
-        return self.pools.heard_pools()
+        return self.pools.announced_pools()
 
     def _wire_metrics(self) -> None:
         self.pools.observe_load = self._metrics.observe_load
@@ -150,7 +150,7 @@
         services = Services(
             self._bridge,
             self.entry,
-            Once(self.control),
+            OnceRecords(self.control),
             HttpRunners(settings.runner_seconds),
             self._metrics,
         )
@@ -234,7 +234,7 @@
         self.entry.note_digest(message)
 
     def _take_announcement(self, said: Announcement) -> None:
-        self._bridge.call(self.pools.announce(said))
+        self._bridge.call(self.pools.handle_announcement(said))
 
     # -- running -------------------------------------------------------
 
--- a/src/ridgesill/app/once.py
+++ b/src/ridgesill/app/once.py
@@ -13,7 +13,7 @@
 
 _BEGIN_SECONDS = 5.0
 _FINISH_SECONDS = 30.0
-KEPT_BODY_BYTES = 64 * 1024
+MAX_RECORDED_BODY_BYTES = 64 * 1024
 
 
 @attrs.frozen
@@ -41,7 +41,7 @@
     body: bytes = b""
 
 
-class Once:
+class OnceRecords:
     """Makes records durable before and after a request runs."""
 
     def __init__(self, control: Control) -> None:
@@ -74,7 +74,9 @@
     async def _try_finish(
         self, key: OnceKey, result: OnceResult, seconds: float
     ) -> None:
-        body = result.body if len(result.body) <= KEPT_BODY_BYTES else b""
+        body = (
+            result.body if len(result.body) <= MAX_RECORDED_BODY_BYTES else b""
+        )
         status = result.status if body or not result.body else 0
         command = FinishOnce(
             key.team,
--- a/src/ridgesill/app/platform_node.py
+++ b/src/ridgesill/app/platform_node.py
@@ -17,7 +17,7 @@
 _FOLLOW_LEASE_SECONDS = 1.2
 _FOLLOW_WAIT_SECONDS = 0.3
 # Within which a channel to an upstream must come up, in seconds.
-CONNECT_SECONDS = 0.4
+CONNECT_TIMEOUT_SECONDS = 0.4
 
 
 def make_node(settings: PlatformSettings, voter: str = "") -> Node:
@@ -49,7 +49,7 @@
     )
 
 
-def read_newer_table(state: State, held: RouteTable) -> RouteTable | None:
+def decode_newer_routes(state: State, held: RouteTable) -> RouteTable | None:
     """Returns the routes in force if they are later than those held."""
     if state.routes_version <= held.version:
         return None
--- a/src/ridgesill/app/pools.py
+++ b/src/ridgesill/app/pools.py
@@ -39,7 +39,7 @@
 _HOLDINGS_HEARD = 1.5
 
 
-def store_name(service: str) -> str:
+def store_pool_name(service: str) -> str:
     """Returns the pool name under which a weight store's owner is granted."""
     return pool_name("", service)
 
@@ -93,13 +93,13 @@
         """The pools that this node owns."""
         return [hosted.owner for hosted in self._hosted.values()]
 
-    def heard_pools(self) -> tuple[str, ...]:
+    def announced_pools(self) -> tuple[str, ...]:
         """Returns pools whose runners have announced themselves here."""
         now = self._loop.time()
         recent = [
             pool for pool, at in self._heard.items() if now - at < _RUNNER_HEARD
         ]
-        stores = {store_name(pool_parts(pool)[1]) for pool in recent}
+        stores = {store_pool_name(pool_parts(pool)[1]) for pool in recent}
         return tuple(sorted(stores.union(recent)))
 
     # -- ownership -----------------------------------------------------
@@ -237,19 +237,19 @@
 
     @handle.register
     async def _(self, message: AskPermit) -> None:
-        allocator = self._allocators.get(store_name(message.service))
+        allocator = self._allocators.get(store_pool_name(message.service))
         if allocator is not None:
             allocator.enqueue(message)
             self._grant_permits(allocator)
 
     @handle.register
     async def _(self, message: ReturnPermit) -> None:
-        allocator = self._allocators.get(store_name(message.service))
+        allocator = self._allocators.get(store_pool_name(message.service))
         if allocator is not None:
             allocator.release(message.permit)
             self._grant_permits(allocator)
 
-    async def announce(self, message: Announcement) -> None:
+    async def handle_announcement(self, message: Announcement) -> None:
         """Takes an announcement that a runner made to this node."""
         pool = _pool_of(message)
         self._heard[pool] = self._loop.time()
@@ -288,7 +288,7 @@
 
     @_emit.register
     def _(self, item: ToAllocator, hosted: _Hosted) -> None:
-        self._send_owner(store_name(item.message.service), item.message)
+        self._send_owner(store_pool_name(item.message.service), item.message)
 
     @_emit.register
     def _(self, item: SendOrder, hosted: _Hosted) -> None:
--- a/src/ridgesill/app/traffic.py
+++ b/src/ridgesill/app/traffic.py
@@ -10,7 +10,7 @@
 _TELL_SECONDS = 10.0
 
 
-async def tell_traffic(traffic: Traffic) -> None:
+async def log_traffic(traffic: Traffic) -> None:
     """Logs what was sent since the last line, until cancelled."""
     while True:
         await asyncio.sleep(_TELL_SECONDS)
--- a/src/ridgesill/app/upstream_search.py
+++ b/src/ridgesill/app/upstream_search.py
@@ -232,7 +232,7 @@
             seconds = min(seconds, self._facts.patience * _LEARN_SHARE)
         while not is_known():
             left = began + seconds - self._loop.time()
-            if left <= 0 or not await self._front.learned.within(left):
+            if left <= 0 or not await self._front.learned.wait(left):
                 break
         log_message(
             "request:learned",
--- a/testing/app/control_world.py
+++ b/testing/app/control_world.py
@@ -135,7 +135,7 @@
         heard: list[Pools] = []
 
         def heard_pools() -> tuple[str, ...]:
-            return heard[0].heard_pools()
+            return heard[0].announced_pools()
 
         control = Control(node, settings, peers, heard_pools)
         if storage is not None:
@@ -202,7 +202,7 @@
         said = Announcement(
             "r1", "x", "assist", "east", "r1", 4, 8, sequence=sequence
         )
-        await self.members[name].pools.announce(said)
+        await self.members[name].pools.handle_announcement(said)
 
     def leader(self) -> str:
         """Returns the node that leads."""
--- a/testing/app/lone_node.py
+++ b/testing/app/lone_node.py
@@ -74,7 +74,7 @@
             task.cancel()
 
 
-def storage_of(owner: str) -> MemoryStorage:
+def make_voter_storage(owner: str) -> MemoryStorage:
     """Returns a disk whose log grants the fleet and its orders to a node."""
     storage = MemoryStorage(
         f"{NAME}.a", make_initial_snapshot((f"{NAME}.a",), b"")
--- a/testing/app/news_world.py
+++ b/testing/app/news_world.py
@@ -15,7 +15,7 @@
 from ridgesill.core.fleet.messages import Heartbeat, WatchFleet
 from ridgesill.core.fleet.usage import UsageReport
 from ridgesill.ports.peers import PeerError
-from testing.app.lone_node import NAME, LoneNode, storage_of
+from testing.app.lone_node import NAME, LoneNode, make_voter_storage
 
 DATA_CENTRES = ("a", "b", "c", "d", "e")
 # One way between any two VMs, in seconds.
@@ -60,7 +60,7 @@
     """
 
     def __init__(self, fronts: int, *, relayed: bool) -> None:
-        self.owning = LoneNode(storage_of(""))
+        self.owning = LoneNode(make_voter_storage(""))
         self.questions: collections.Counter[str] = collections.Counter()
         self.bytes_between = 0
         self.reported = 0
@@ -144,7 +144,7 @@
         registry = self.owning.owner._registry
         assert registry is not None
         registry.set_resident(engine, {"m": 1, artifact: 1})
-        self.owning.owner._news.note()
+        self.owning.owner._news.notify()
 
     async def change(self, seconds: float, a_second: int) -> None:
         """Has engines load and unload, as told to fronts."""
@@ -158,7 +158,7 @@
             name = engines[number % len(engines)]
             adapters = {f"base-model/adapter-{number + n}": 1 for n in range(6)}
             registry.set_resident(name, {"m": 1, **adapters})
-            owner._news.note()
+            owner._news.notify()
             await asyncio.sleep(1 / a_second)
 
     def stop(self) -> None:
--- a/testing/app/test_account.py
+++ b/testing/app/test_account.py
@@ -6,11 +6,11 @@
 import pytest
 
 from ridgesill.app.account import (
-    NoEndsError,
+    NoRequestEndsError,
     find_cause,
+    format_account,
     make_account,
-    read_ends,
-    show_account,
+    read_request_ends,
 )
 from ridgesill.app.cli import CommandError, Commands
 
@@ -43,7 +43,7 @@
         account = make_account(lines)
         assert account.customers == {"alice": (2, 1)}
         assert (account.ends, account.not_owed) == (2, 1)
-        assert "50.00%  alice" in show_account(account)
+        assert "50.00%  alice" in format_account(account)
 
 
 class TestCauses:
@@ -69,7 +69,7 @@
     def test_each_has_its_first_one(
         self, fields: dict[str, object], cause: str
     ) -> None:
-        (read,) = read_ends([end(**fields)])
+        (read,) = read_request_ends([end(**fields)])
         assert not read.is_in_time
         assert cause in find_cause(read)
 
@@ -99,12 +99,12 @@
         assert make_account(lines).ends == 1
 
     def test_without_ends_it_says_what_to_give(self) -> None:
-        with pytest.raises(NoEndsError, match="logs of all fronts"):
+        with pytest.raises(NoRequestEndsError, match="logs of all fronts"):
             make_account([{"message_type": "fleet:owned"}])
 
     def test_the_text_names_causes_and_moments(self) -> None:
         lines = [end(), end(outcome="refused", reason="overload")]
-        text = show_account(make_account(lines))
+        text = format_account(make_account(lines))
         assert "2 requests ended, 1 in time, 1 not (50.0%)" in text
         assert "refused: overload" in text
         assert "by moment" in text
--- a/testing/app/test_control_api.py
+++ b/testing/app/test_control_api.py
@@ -12,7 +12,7 @@
 from ridgesill.platform.configuration import decode_configuration
 from ridgesill.platform.control_calls import PlatformControlCalls
 from ridgesill.ports.http import Headers, HttpRequest
-from testing.app.lone_node import LoneNode, storage_of
+from testing.app.lone_node import LoneNode, make_voter_storage
 from testing.platform.test_configuration import document, route
 
 pytestmark = pytest.mark.looptime
@@ -65,7 +65,7 @@
     """The control address of a node that leads alone."""
 
     def __init__(self) -> None:
-        self.node = LoneNode(storage_of(""))
+        self.node = LoneNode(make_voter_storage(""))
         self._api = ControlApi(
             self.node.control,
             self.node.owner,
--- a/testing/app/test_fleet_owner.py
+++ b/testing/app/test_fleet_owner.py
@@ -26,7 +26,7 @@
     LEASE,
     NAME,
     LoneNode,
-    storage_of,
+    make_voter_storage,
 )
 
 pytestmark = pytest.mark.looptime
@@ -54,7 +54,7 @@
 class TestOwnership:
     @pytest.mark.parametrize("before", ["", NAME])
     async def test_its_own_lease_is_not_waited_out(self, before: str) -> None:
-        owning = LoneNode(storage_of(before))
+        owning = LoneNode(make_voter_storage(before))
         loop = asyncio.get_running_loop()
         began = loop.time()
         owning.owner.apply_table(engine_table())
@@ -67,7 +67,7 @@
         owning.stop()
 
     async def test_another_vm_s_lease_is_waited_out(self) -> None:
-        owning = LoneNode(storage_of("10.0.0.2:70"))
+        owning = LoneNode(make_voter_storage("10.0.0.2:70"))
         loop = asyncio.get_running_loop()
         began = loop.time()
         owning.owner.apply_table(engine_table())
@@ -85,7 +85,7 @@
         owning.stop()
 
     async def test_the_log_says_who_owned_it_last(self) -> None:
-        owning = LoneNode(storage_of("10.0.0.2:70"))
+        owning = LoneNode(make_voter_storage("10.0.0.2:70"))
         assert last_owner(owning.driver) == "10.0.0.2:70"
         owning.stop()
 
@@ -97,7 +97,7 @@
         # Four owners in five seconds, each without the last one's word, told
         # that no customer is near its limit: one that was far beyond it got 71
         # requests through in eight seconds of 69 that are borne.
-        owning = LoneNode(storage_of(""))
+        owning = LoneNode(make_voter_storage(""))
         await owning.start()
         question = WatchFleet(0, 0, 0.0)
         first = await owning.owner.handle_watch("f1", question)
@@ -110,7 +110,7 @@
 
 class TestTakeOver:
     async def test_what_was_leaving_still_is(self) -> None:
-        owning = LoneNode(storage_of(""))
+        owning = LoneNode(make_voter_storage(""))
         leaving = Upstream("e1", "s", ENGINE, "a", 4, "draining", {"m": 1})
         owning.owner._follower.view.upstreams["e1"] = leaving
         owning.owner.apply_table(engine_table())
@@ -121,7 +121,7 @@
     async def test_nothing_counts_as_unused_before_fronts_have_told(
         self,
     ) -> None:
-        owning = LoneNode(storage_of(""))
+        owning = LoneNode(make_voter_storage(""))
         owner = owning.owner
         owner._follower.view.fronts = 2
         await owning.start()
@@ -133,7 +133,7 @@
         owning.stop()
 
     async def test_fronts_that_are_gone_are_not_waited_for_long(self) -> None:
-        owning = LoneNode(storage_of(""))
+        owning = LoneNode(make_voter_storage(""))
         owning.owner._follower.view.fronts = 2
         await owning.start()
         taken_at = asyncio.get_running_loop().time()
@@ -148,7 +148,7 @@
 
         Counted from the last order that an earlier owner may have given.
         """
-        owning = LoneNode(storage_of(owner_before))
+        owning = LoneNode(make_voter_storage(owner_before))
         loop = asyncio.get_running_loop()
         owning.owner._engines._time_of_day = lambda: 1_000.0 + loop.time()
         owning.owner.apply_table(engine_table())
@@ -175,7 +175,7 @@
 
 class TestNews:
     async def test_a_departure_is_told_to_those_who_ask(self) -> None:
-        owning = LoneNode(storage_of(""))
+        owning = LoneNode(make_voter_storage(""))
         await owning.start()
         owner = owning.owner
         await owner.submit_heartbeat(heartbeat(1))
@@ -190,7 +190,7 @@
         owning.stop()
 
     async def test_a_node_that_does_not_own_says_so(self) -> None:
-        owning = LoneNode(storage_of(""))
+        owning = LoneNode(make_voter_storage(""))
         news = await owning.owner.handle_watch("f1", WatchFleet(3, 1, 0.1))
         assert news.epoch == 0
         answer = await owning.owner.handle_want(WantArtifact("s", "m/a1", 0))
@@ -201,7 +201,7 @@
     async def test_heartbeats_that_say_ready_bring_no_engine_back(
         self,
     ) -> None:
-        owning = LoneNode(storage_of(""))
+        owning = LoneNode(make_voter_storage(""))
         owner = owning.owner
         owner.apply_table(engine_table())
         await owning.start()
@@ -231,7 +231,7 @@
         await asyncio.sleep(0.25)
 
     async def test_nobody_was_silent_while_this_vm_was_suspended(self) -> None:
-        owning = LoneNode(storage_of(""))
+        owning = LoneNode(make_voter_storage(""))
         owning.owner.apply_table(engine_table())
         await owning.start()
         owning.owner.handle_heartbeat(engine_heartbeat())
@@ -245,7 +245,7 @@
         owning.stop()
 
     async def test_no_node_is_removed_for_it(self) -> None:
-        owning = LoneNode(storage_of(""))
+        owning = LoneNode(make_voter_storage(""))
         control = owning.control
         leading = asyncio.create_task(control.lead())
         await owning.start()
--- a/testing/app/test_following.py
+++ b/testing/app/test_following.py
@@ -17,7 +17,7 @@
 )
 from ridgesill.core.log.messages import Entry
 from ridgesill.ports.peers import PeerError
-from testing.app.lone_node import LoneNode, storage_of
+from testing.app.lone_node import LoneNode, make_voter_storage
 
 pytestmark = pytest.mark.looptime
 
@@ -158,7 +158,7 @@
     async def test_what_is_committed_in_a_row_is_told_at_once(self) -> None:
         # Load pattern: 200 nodes join within two seconds, and each is told of
         # each other one. Answered one by one these were 40,000 answers.
-        node = LoneNode(storage_of(""))
+        node = LoneNode(make_voter_storage(""))
         await node.start()
         answers = 0
         applied = node.control.state.index
@@ -185,7 +185,7 @@
         node.stop()
 
     async def test_one_that_has_just_started_is_answered_at_once(self) -> None:
-        node = LoneNode(storage_of(""))
+        node = LoneNode(make_voter_storage(""))
         await node.start()
         loop = asyncio.get_running_loop()
         began = loop.time()
--- a/testing/app/test_forwarding.py
+++ b/testing/app/test_forwarding.py
@@ -236,7 +236,7 @@
         asking = asyncio.create_task(client.ask("/safe/x"))
         await asyncio.sleep(0.1)
         world.front.table = table
-        world.front.learned.note()
+        world.front.learned.notify()
         assert (await asking).status == 200
 
     async def test_a_request_waits_for_an_upstream(
@@ -246,7 +246,7 @@
         asking = asyncio.create_task(client.ask("/safe/x"))
         await asyncio.sleep(0.1)
         await world.add("u1", answer_ok)
-        world.front.learned.note()
+        world.front.learned.notify()
         assert (await asking).status == 200
 
     async def test_it_is_refused_in_time_to_come_back(
@@ -675,7 +675,7 @@
         asked = asyncio.create_task(client.ask("/safe/x", credential="k2"))
         await asyncio.sleep(0.05)
         name_customers(world, k1=LIMITED, k2=Customer("bob"))
-        world.front.learned.note()
+        world.front.learned.notify()
         assert (await asked).status == 200
 
     async def test_no_key_is_served_once_it_may_have_been_taken_away(
@@ -721,7 +721,7 @@
         await world.add("u1", answer_ok)
         now = asyncio.get_running_loop().time()
         world.front.quotas.apply_news({"alice": RateState(0.0, 9.0)}, 1, now)
-        world.front.learned.note()
+        world.front.learned.notify()
         assert (await asked).status == 429
 
     async def test_what_lies_beyond_the_limit_is_refused_at_once(
--- a/testing/world.py
+++ b/testing/world.py
@@ -13,7 +13,7 @@
 import attrs
 
 from ridgesill.app.entry import Entry, StateView
-from ridgesill.app.pools import Pools, store_name
+from ridgesill.app.pools import Pools, store_pool_name
 from ridgesill.core.commands import Node
 from ridgesill.core.membership import pool_name
 from ridgesill.core.pool.context import PoolLimits
@@ -159,7 +159,7 @@
                 if fake.node.data_centre == place.data_centre
             ]
             self._grant(pool, local)
-            self._grant(store_name(place.service), list(self.nodes))
+            self._grant(store_pool_name(place.service), list(self.nodes))
 
     def _grant(self, pool: str, candidates: list[str]) -> None:
         if pool not in self.state.owners:
@@ -210,7 +210,7 @@
             said = self.announcement(place, sequence)
             # Reports lag: what is said now is heard a while later.
             await asyncio.sleep(0.2)
-            await local[0].pools.announce(said)
+            await local[0].pools.handle_announcement(said)
             await asyncio.sleep(_ANNOUNCE_EVERY)
 
     def announcement(self, place: RunnerPlace, sequence: int) -> Announcement:
