--- a/src/ridgesill/app/administration.py
+++ b/src/ridgesill/app/administration.py
@@ -1,4 +1,4 @@
-"""Carries operators' requests out on a node."""
+"""Executes the requests of operators on a node."""
 
 from collections.abc import Callable
 
@@ -18,14 +18,21 @@
     Status,
 )
 
-_APPLY_SECONDS = 8.0
-_CATCH_UP_SECONDS = 2.0
-_TRIES = 5
+_APPLY_TIMEOUT_SECONDS = 8.0
+_CATCH_UP_TIMEOUT_SECONDS = 2.0
+_MAX_ATTEMPTS = 5
 _NO_VERSION = -1
 
 
 class NodeAdministration:
-    """Implements `ports.administration.Administration`."""
+    """Implements `ports.administration.Administration`.
+
+    Args:
+        bridge: runs the work on the event loop for worker threads.
+        control: the node's part in the control plane.
+        pools: the pools that the node owns.
+        drain: starts to drain the node.
+    """
 
     def __init__(
         self,
@@ -40,57 +47,64 @@
         self._drain = drain
 
     def apply(self, operation: str, declared: Declaration) -> Applied:
-        """Brings a declaration into force, or says why not."""
+        """Applies a declaration; the result says whether it was accepted."""
         return self._bridge.call(self._apply(operation, declared))
 
     def show(self) -> Shown:
-        """Returns the configuration in force."""
+        """Returns a summary of the configuration in force."""
         return self._bridge.call(self._show())
 
     def status(self) -> Status:
-        """Returns the state of the system."""
+        """Returns the state of the system as this node knows it."""
         return self._bridge.call(self._status())
 
     def drain(self) -> None:
-        """Has the node take no new work and stop once it has no other."""
+        """Makes the node refuse new work and stop once it has none left."""
         self._bridge.post(self._drain)
 
     async def _apply(self, operation: str, declared: Declaration) -> Applied:
         await self._catch_up(declared.based_on)
-        for _ in range(_TRIES):
-            command = self._command(operation, declared)
+        for _ in range(_MAX_ATTEMPTS):
+            command = self._build_command(operation, declared)
             try:
-                answer = await self._control.propose(command, _APPLY_SECONDS)
+                answer = await self._control.propose(
+                    command, _APPLY_TIMEOUT_SECONDS
+                )
             except UnavailableError as error:
-                detail = f"{error}; send the same file again to learn its fate"
+                detail = (
+                    f"{error}; send the same file again to learn the result"
+                )
                 state = self._control.state
                 return Applied("unknown", state.version, state.digest, detail)
-            if not self._is_overtaken(command, declared, answer):
-                return _applied(declared, answer)
+            if not self._has_outdated_base(command, declared, answer):
+                return _make_applied(declared, answer)
             await self._catch_up(answer.version)
-        return _applied(declared, answer)
+        return _make_applied(declared, answer)
 
-    def _command(self, operation: str, declared: Declaration) -> Configure:
+    def _build_command(
+        self, operation: str, declared: Declaration
+    ) -> Configure:
         state = self._control.state
-        # Computed from what this node has; the log checks that this still
-        # is the version in force when the command's turn comes.
+        # The change is computed from this node's version. The log checks when
+        # it applies the command that this version is still in force.
         base = state.version
         change = diff(state.table, declared.table())
         if declared.based_on >= 0 and declared.based_on != base:
-            # Nothing to compute from: this can only be a resend of what is
-            # in force, which the log recognises, or a conflict.
+            # This node lacks the version that the file is based on. The file
+            # is either a resend of the version in force, which the log
+            # recognises, or a conflict.
             base, change = _NO_VERSION, Change()
         return Configure(
             operation, base, declared.version, declared.digest, change
         )
 
-    def _is_overtaken(
+    def _has_outdated_base(
         self,
         command: Configure,
         declared: Declaration,
         answer: ConfigureAnswer,
     ) -> bool:
-        """Whether it was refused only for the base it was computed from."""
+        """Returns whether only an outdated base caused a conflict."""
         return (
             answer.verdict == CONFLICT
             and declared.based_on < 0
@@ -99,7 +113,7 @@
         )
 
     async def _catch_up(self, version: int) -> None:
-        await self._control.wait_for_version(version, _CATCH_UP_SECONDS)
+        await self._control.wait_for_version(version, _CATCH_UP_TIMEOUT_SECONDS)
 
     async def _show(self) -> Shown:
         state = self._control.state
@@ -108,13 +122,14 @@
             state.version,
             state.digest,
             fresh,
-            self._everywhere(),
+            self._is_in_force_everywhere(),
             len(state.table.adapters),
             len(state.table.teams),
             len(state.table.services),
         )
 
-    def _everywhere(self) -> bool | None:
+    def _is_in_force_everywhere(self) -> bool | None:
+        """Returns whether all nodes have this version; None if not leader."""
         if not self._control.is_leader:
             return None
         state = self._control.state
@@ -168,7 +183,7 @@
     )
 
 
-def _applied(declared: Declaration, answer: ConfigureAnswer) -> Applied:
+def _make_applied(declared: Declaration, answer: ConfigureAnswer) -> Applied:
     if answer.verdict == CONFLICT:
         detail = (
             f"version {answer.version} is in force; this file declares "
--- a/src/ridgesill/app/node.py
+++ b/src/ridgesill/app/node.py
@@ -1,4 +1,4 @@
-"""The process of a node: wires the parts and runs them until it is stopped."""
+"""Builds the components of a node and runs them until it stops."""
 
 import asyncio
 import functools
@@ -37,21 +37,23 @@
 
 _ADMIN_THREADS = 4
 _RUNNER_THREADS = 8
+# Threads beyond `streams`, so that excess requests are refused promptly.
 _REFUSAL_THREADS = 32
-_ADMIN_BODY = 64 * 2**20
-_RUNNER_BODY = 256 * 1024
-_DRAIN_TICK = 0.1
-_NOTICE_SECONDS = 2.0
-_LEAVE_SECONDS = 2.0
-_CANCEL_SECONDS = 1.0
+_MAX_ADMIN_BODY_BYTES = 64 * 2**20
+_MAX_RUNNER_BODY_BYTES = 256 * 1024
+_DRAIN_POLL_SECONDS = 0.1
+# Time for the balancer to see that the node is no longer ready.
+_READINESS_NOTICE_SECONDS = 2.0
+_RELEASE_TIMEOUT_SECONDS = 2.0
+_CANCEL_RETRY_SECONDS = 1.0
 
 
 class NodeProcess:
-    """All of a node.
+    """The components of one node and the tasks and servers that run them.
 
     Args:
-        settings: its settings.
-        token: the administration token.
+        settings: the node's settings.
+        token: the token that clients of the administration interface send.
     """
 
     def __init__(self, settings: Settings, token: str) -> None:
@@ -84,7 +86,7 @@
                 settings.follow_seconds,
             ),
             self._peers,
-            self._heard_pools,
+            self._announced_pools,
         )
         if storage is not None:
             self.control.driver = LogDriver(
@@ -109,19 +111,19 @@
         self.control.add_listener(self.pools.sync)
         self.control.add_listener(self.entry.note_owners)
         self._metrics = Metrics()
-        self._wire_metrics()
+        self._register_metrics()
         self._caller_app = self._make_caller_app()
         self._servers = self._make_servers(token)
         self._peer_server = PeerServer(
             self._handle, self.identity, self._peers.traffic
         )
 
-    # -- wiring --------------------------------------------------------
+    # -- construction ---------------------------------------------------
 
-    def _heard_pools(self) -> tuple[str, ...]:
+    def _announced_pools(self) -> tuple[str, ...]:
         return self.pools.announced_pools()
 
-    def _wire_metrics(self) -> None:
+    def _register_metrics(self) -> None:
         self.pools.observe_load = self._metrics.observe_load
         control = self.control
         metrics = self._metrics
@@ -170,28 +172,28 @@
             self._bridge, self.control, self.pools, self.drain
         )
         admin = AdminApp(token, administration, self._metrics.render)
-        announce = AnnounceApp(self._take_announcement)
+        announce = AnnounceApp(self._handle_announcement)
         return [
             HttpServer(
                 settings.callers,
                 self._caller_app,
-                self._limits(
+                self._server_limits(
                     settings.streams + _REFUSAL_THREADS, settings.body_bytes
                 ),
             ),
             HttpServer(
                 settings.admin,
                 admin,
-                self._limits(_ADMIN_THREADS, _ADMIN_BODY),
+                self._server_limits(_ADMIN_THREADS, _MAX_ADMIN_BODY_BYTES),
             ),
             HttpServer(
                 settings.runners,
                 announce,
-                self._limits(_RUNNER_THREADS, _RUNNER_BODY),
+                self._server_limits(_RUNNER_THREADS, _MAX_RUNNER_BODY_BYTES),
             ),
         ]
 
-    def _limits(self, threads: int, body_bytes: int) -> ServerLimits:
+    def _server_limits(self, threads: int, body_bytes: int) -> ServerLimits:
         return ServerLimits(
             threads,
             self._settings.header_bytes,
@@ -200,7 +202,7 @@
         )
 
     def is_ready(self) -> bool:
-        """Whether the balancer should send requests here."""
+        """Returns whether the balancer should send requests to this node."""
         return (
             not self.control.draining
             and self.control.is_fresh()
@@ -210,65 +212,72 @@
     # -- messages ------------------------------------------------------
 
     async def _handle(self, sender: str, message: Any) -> Any:
-        return await self._take(message)
+        return await self._handle_message(message)
 
     @singledispatchmethod
-    async def _take(self, message: Any) -> Any:
+    async def _handle_message(self, message: Any) -> Any:
         return await self.pools.handle(message)
 
-    @_take.register
+    @_handle_message.register
     async def _(self, message: ReplicaMessage) -> None:
         if self.control.driver is not None:
             self.control.driver.receive(message)
 
-    @_take.register
+    @_handle_message.register
     async def _(self, message: Follow) -> Any:
         return await self.control.handle_follow(message)
 
-    @_take.register
+    @_handle_message.register
     async def _(self, message: Propose) -> Any:
         return await self.control.handle_propose(message)
 
-    @_take.register
+    @_handle_message.register
     async def _(self, message: Digest) -> None:
         self.entry.note_digest(message)
 
-    def _take_announcement(self, said: Announcement) -> None:
-        self._bridge.call(self.pools.handle_announcement(said))
+    def _handle_announcement(self, announcement: Announcement) -> None:
+        self._bridge.call(self.pools.handle_announcement(announcement))
 
     # -- running -------------------------------------------------------
 
     async def run(self) -> None:
-        """Runs until stopped by a signal or an order to drain."""
+        """Runs until a signal or a drain request stops the node.
+
+        Raises:
+            BaseException: the error of the first task that failed.
+        """
         for number in (signal.SIGTERM, signal.SIGINT):
             self._loop.add_signal_handler(number, self.drain)
         self._loop.add_signal_handler(signal.SIGHUP, self._reload)
         context = self._tls.server if self._tls else None
         await self._peer_server.start(self._settings.peers, context)
-        tasks = [asyncio.create_task(work) for work in self._works()]
+        tasks = [
+            asyncio.create_task(coroutine)
+            for coroutine in self._list_coroutines()
+        ]
         for server in self._servers:
             server.start()
         log_message("node:started", node=self.identity, voter=self.node.voter)
-        failed = await self._wait(tasks)
+        failed = await self._wait_for_stop(tasks)
         await self._stop(tasks)
         if failed is not None:
             raise failed
 
-    def _works(self) -> list[Any]:
-        works = [
+    def _list_coroutines(self) -> list[Any]:
+        coroutines = [
             self.control.follow(),
             self.control.lead(),
             self.pools.run(),
             self.entry.report_holdings(),
         ]
         if self.control.driver is not None:
-            works.append(self.control.driver.run())
-        return works
+            coroutines.append(self.control.driver.run())
+        return coroutines
 
-    async def _wait(
+    async def _wait_for_stop(
         self, tasks: list[asyncio.Task[None]]
     ) -> BaseException | None:
-        """Waits for the stop; returns the error of a part that failed."""
+        """Waits until the node stops; returns the error of a failed task."""
         stopping = asyncio.create_task(self._stopping.wait())
         done, _ = await asyncio.wait(
             [stopping, *tasks], return_when=asyncio.FIRST_COMPLETED
@@ -280,7 +289,10 @@
         return None
 
     def drain(self) -> None:
-        """Takes no new work and stops once the work in progress is done."""
+        """Refuses new work and stops once the work in progress is done.
+
+        Stops at the latest after `drain_seconds` and the release of pools.
+        """
         if not self.control.draining:
             self.control.draining = True
             log_message("node:draining", node=self.identity)
@@ -289,25 +301,28 @@
     async def _drain(self) -> None:
         try:
             await self._finish_work()
-            await self._hand_over()
-        except Exception:  # noqa: BLE001 - a fault must not keep it from ending
+            await self._release_pools()
+        except Exception:  # noqa: BLE001 - the node must stop despite an error
             write_traceback()
         finally:
             self._stopping.set()
 
     async def _finish_work(self) -> None:
         deadline = self._loop.time() + self._settings.drain_seconds
-        # Readiness fails already; what the balancer still sends is served.
-        await asyncio.sleep(min(_NOTICE_SECONDS, self._settings.drain_seconds))
+        # The readiness check already fails. Requests that the balancer sends
+        # until it notices are still served.
+        await asyncio.sleep(
+            min(_READINESS_NOTICE_SECONDS, self._settings.drain_seconds)
+        )
         self.control.refusing_requests = True
         while self._loop.time() < deadline and self._is_busy():
-            await asyncio.sleep(_DRAIN_TICK)
+            await asyncio.sleep(_DRAIN_POLL_SECONDS)
 
     def _is_busy(self) -> bool:
         return bool(self._caller_app.in_progress or self.entry.held)
 
-    async def _hand_over(self) -> None:
-        """Releases this node's pools, so that the next owner need not wait."""
+    async def _release_pools(self) -> None:
+        """Releases this node's pools, so that a new owner can start at once."""
         for owner in self.pools.owners:
             owner.cancel_unordered_loads()
             owner.refuse_waiting()
@@ -318,8 +333,8 @@
         ]
         for release in releases:
             try:
-                await self.control.propose(release, _LEAVE_SECONDS)
-            except Exception as error:  # noqa: BLE001 - leaving goes on
+                await self.control.propose(release, _RELEASE_TIMEOUT_SECONDS)
+            except Exception as error:  # noqa: BLE001 - the node stops anyway
                 log_message("node:not_released", detail=str(error))
                 return
 
@@ -328,22 +343,24 @@
             self._tls.reload()
             log_message("node:certificates_reloaded", node=self.identity)
 
-    async def _end(self, tasks: list[asyncio.Task[None]]) -> None:
-        """Cancels tasks until they have ended.
+    async def _cancel(self, tasks: list[asyncio.Task[None]]) -> None:
+        """Cancels tasks repeatedly until all of them have ended.
 
-        In Python 3.11 `asyncio.wait_for` loses a cancellation that comes
-        together with its result, so once is not enough.
+        In Python 3.11 `asyncio.wait_for` loses a cancellation that arrives
+        together with its result, so cancelling once is not enough.
         """
         pending = set(tasks)
         while pending:
             for task in pending:
                 task.cancel()
-            _, pending = await asyncio.wait(pending, timeout=_CANCEL_SECONDS)
+            _, pending = await asyncio.wait(
+                pending, timeout=_CANCEL_RETRY_SECONDS
+            )
             for task in pending:
                 log_message("node:task_goes_on", task=str(task.get_coro()))
 
     async def _stop(self, tasks: list[asyncio.Task[None]]) -> None:
-        await self._end(tasks)
+        await self._cancel(tasks)
         for server in self._servers:
             await self._loop.run_in_executor(None, server.stop)
         await self._peers.close()
--- a/src/ridgesill/app/once.py
+++ b/src/ridgesill/app/once.py
@@ -1,4 +1,4 @@
-"""Records of requests that run at most once."""
+"""Durable records of idempotent requests, which run at most once."""
 
 import time
 
@@ -11,17 +11,21 @@
 from ridgesill.core.calls import Refusal
 from ridgesill.core.commands import BeginOnce, FinishOnce, OnceRecord
 
-_BEGIN_SECONDS = 5.0
-_FINISH_SECONDS = 30.0
+_BEGIN_TIMEOUT_SECONDS = 5.0
+_FINISH_TIMEOUT_SECONDS = 30.0
+# Longer bodies are not recorded; the record then has status 0.
 MAX_RECORDED_BODY_BYTES = 64 * 1024
 
 
 @attrs.frozen
 class OnceKey:
-    """Names a request that runs at most once.
+    """Identifies a request that runs at most once.
 
     Attributes:
-        digest: of the request, so that a key is not reused for another.
+        team: the team that sent the request.
+        key: the value of its Idempotency-Key header.
+        digest: digest of the request, which detects a key that is reused for
+            a different request.
         request: the id of this attempt.
     """
 
@@ -33,7 +37,14 @@
 
 @attrs.frozen
 class OnceResult:
-    """What is recorded of a finished request."""
+    """The recorded result of a finished request.
+
+    Attributes:
+        outcome: one of the outcomes in `core.calls`.
+        status: HTTP status of the response; 0 if there was none.
+        content_type: content type of the response.
+        body: body of the response.
+    """
 
     outcome: str
     status: int = 0
@@ -42,7 +53,7 @@
 
 
 class OnceRecords:
-    """Makes records durable before and after a request runs."""
+    """Commits a record to the log before and after a request runs."""
 
     def __init__(self, control: Control) -> None:
         self._control = control
@@ -51,25 +62,29 @@
         """Records that a request is about to run.
 
         Returns:
-            Ok if it may run now; else the record that stands, or a refusal.
+            Ok if the request may run now; otherwise the existing record of
+            the same key, or a refusal.
         """
         node = self._control.node.incarnation
         command = BeginOnce(
             key.team, key.key, key.digest, node, key.request, time.time()
         )
         try:
-            answer = await self._control.propose(command, _BEGIN_SECONDS)
+            answer = await self._control.propose(
+                command, _BEGIN_TIMEOUT_SECONDS
+            )
         except UnavailableError as error:
-            # Perhaps recorded, but it has not run; frees the key if so.
+            # The record may have been committed although the request has not
+            # run. Recording it as not run frees the key.
             await self._try_finish(key, OnceResult(calls.NOT_RUN), 0.5)
             return Err(Refusal(calls.NO_LEADER, str(error), 2.0, key.team))
         if answer.begun:
             return Ok(None)
-        return Err(_explain(key, answer.record))
+        return Err(_explain_rejection(key, answer.record))
 
     async def finish(self, key: OnceKey, result: OnceResult) -> None:
-        """Records what became of a request."""
-        await self._try_finish(key, result, _FINISH_SECONDS)
+        """Records the result of a request; logs it if that fails."""
+        await self._try_finish(key, result, _FINISH_TIMEOUT_SECONDS)
 
     async def _try_finish(
         self, key: OnceKey, result: OnceResult, seconds: float
@@ -95,7 +110,10 @@
             )
 
 
-def _explain(key: OnceKey, record: OnceRecord) -> OnceRecord | Refusal:
+def _explain_rejection(
+    key: OnceKey, record: OnceRecord
+) -> OnceRecord | Refusal:
+    """Returns the record to answer from, or why its key cannot be used."""
     if record.outcome == commands.FULL:
         detail = "too many keys are held; try again later"
         return Refusal(calls.KEYS_FULL, detail, 60.0, key.team)
--- a/src/ridgesill/app/pools.py
+++ b/src/ridgesill/app/pools.py
@@ -1,4 +1,4 @@
-"""Hosts the pools that this node owns, and the weight store's allocator."""
+"""Runs the pools and weight-store allocators that this node owns."""
 
 import asyncio
 from collections.abc import Callable
@@ -33,20 +33,31 @@
 from ridgesill.ports.orders import FAILED, Orders
 from ridgesill.ports.peers import Peers
 
-_TICK = 0.1
-_DIGEST_EVERY = 0.5
-_RUNNER_HEARD = 5.0
-_HOLDINGS_HEARD = 1.5
+_TICK_SECONDS = 0.1
+_DIGEST_INTERVAL_SECONDS = 0.5
+_ANNOUNCEMENT_VALID_SECONDS = 5.0
+# A new owner waits this long for entry nodes to report what they hold.
+_HOLDINGS_WAIT_SECONDS = 1.5
 
 
 def store_pool_name(service: str) -> str:
-    """Returns the pool name under which a weight store's owner is granted."""
+    """Returns the pool name that stands for a service's weight store.
+
+    The owner of that pool runs the allocator of the load permits.
+    """
     return pool_name("", service)
 
 
 @attrs.define
 class _Hosted:
-    """A pool owned by this node."""
+    """A pool that this node owns.
+
+    Attributes:
+        owner: the pool's state and decisions.
+        orders: tasks that send orders to runners.
+        answers: futures of requests that wait for admission, by request id.
+        digest_at: loop time of the last digest, in seconds.
+    """
 
     owner: PoolOwner
     orders: set[asyncio.Task[None]] = attrs.Factory(set)
@@ -55,15 +66,15 @@
 
 
 class Pools:
-    """Runs the owners of this node's pools.
+    """Runs the pools and allocators that the state grants to this node.
 
     Args:
-        node: this node, as name#incarnation.
-        view: the control plane.
+        node: this node, as `name#incarnation`.
+        view: read access to the control plane's state.
         peers: sends messages to other nodes.
-        orders: carries orders to runners.
-        lease: seconds that an earlier owner may still rely on its lease.
-        limits: limits of each pool.
+        orders: sends orders to runners.
+        lease: seconds for which a previous owner may still use its lease.
+        limits: limits of each pool; the defaults if None.
     """
 
     def __init__(
@@ -83,21 +94,23 @@
         self._limits = limits or PoolLimits()
         self._hosted: dict[str, _Hosted] = {}
         self._allocators: dict[str, PermitAllocator] = {}
-        self._heard: dict[str, float] = {}
+        self._announced_at: dict[str, float] = {}
         self._announced: dict[str, Announcement] = {}
         self._loop = asyncio.get_running_loop()
         self.observe_load: Callable[[str, float], None] = lambda _s, _t: None
 
     @property
     def owners(self) -> list[PoolOwner]:
-        """The pools that this node owns."""
+        """Returns the owners of all pools on this node."""
         return [hosted.owner for hosted in self._hosted.values()]
 
     def announced_pools(self) -> tuple[str, ...]:
-        """Returns pools whose runners have announced themselves here."""
+        """Returns pools with a recent announcement to this node."""
         now = self._loop.time()
         recent = [
-            pool for pool, at in self._heard.items() if now - at < _RUNNER_HEARD
+            pool
+            for pool, at in self._announced_at.items()
+            if now - at < _ANNOUNCEMENT_VALID_SECONDS
         ]
         stores = {store_pool_name(pool_parts(pool)[1]) for pool in recent}
         return tuple(sorted(stores.union(recent)))
@@ -105,35 +118,35 @@
     # -- ownership -----------------------------------------------------
 
     def sync(self) -> None:
-        """Brings what is hosted in line with the state."""
+        """Starts and stops pools and allocators to match the current state."""
         owners = self._view.state().owners
         mine = {p: o for p, o in owners.items() if self._is_mine(o)}
         for pool in list(self._hosted):
             owner = mine.get(pool)
             if owner is None or owner.epoch != self._hosted[pool].owner.epoch:
-                self._end(pool)
+                self._stop_pool(pool)
         for pool in list(self._allocators):
             if pool not in mine:
                 del self._allocators[pool]
         for pool, owner in mine.items():
-            self._begin(pool, owner)
+            self._start(pool, owner)
         for hosted in self._hosted.values():
-            self._sync_nodes(hosted.owner)
+            self._remove_lost_nodes(hosted.owner)
 
     def _is_mine(self, owner: Owner) -> bool:
         return f"{owner.node}#{owner.incarnation}" == self._node
 
-    def _begin(self, pool: str, owner: Owner) -> None:
+    def _start(self, pool: str, owner: Owner) -> None:
         data_centre, service_name = pool_parts(pool)
         service = self._view.state().table.services.get(service_name)
         if service is None:
             return
         if not data_centre:
-            self._begin_allocator(pool, service)
+            self._update_allocator(pool, service)
         elif pool not in self._hosted:
-            self._host(pool, owner, service)
+            self._start_pool(pool, owner, service)
 
-    def _begin_allocator(self, pool: str, service: Service) -> None:
+    def _update_allocator(self, pool: str, service: Service) -> None:
         known = self._allocators.get(pool)
         if known is None:
             self._allocators[pool] = PermitAllocator(
@@ -143,7 +156,7 @@
             known.rate = service.load_rate
             known.concurrency = service.load_concurrency
 
-    def _host(self, pool: str, owner: Owner, service: Service) -> None:
+    def _start_pool(self, pool: str, owner: Owner, service: Service) -> None:
         now = self._loop.time()
         wait = 0.0 if owner.released else self._lease
         self._hosted[pool] = _Hosted(
@@ -154,15 +167,15 @@
                 now + wait,
                 self._limits,
                 service.batch_weight,
-                now + max(wait, _HOLDINGS_HEARD),
+                now + max(wait, _HOLDINGS_WAIT_SECONDS),
             )
         )
         log_message("pool:owned", pool=pool, epoch=owner.epoch, wait=wait)
         for announcement in list(self._announced.values()):
             if _pool_of(announcement) == pool:
-                self._feed(self._hosted[pool], announcement)
+                self._deliver(self._hosted[pool], announcement)
 
-    def _end(self, pool: str) -> None:
+    def _stop_pool(self, pool: str) -> None:
         hosted = self._hosted.pop(pool)
         for order in hosted.orders:
             order.cancel()
@@ -171,7 +184,7 @@
                 future.set_result(Refused(request, NOT_OWNER, 0.5))
         log_message("pool:given_up", pool=pool, epoch=hosted.owner.epoch)
 
-    def _sync_nodes(self, owner: PoolOwner) -> None:
+    def _remove_lost_nodes(self, owner: PoolOwner) -> None:
         nodes = self._view.state().nodes.values()
         alive = {node.identity for node in nodes}
         for node in owner.entry_nodes() - alive:
@@ -181,8 +194,14 @@
 
     @singledispatchmethod
     async def handle(self, message: Any) -> Any:
-        """Takes a message for a pool or an allocator of this node."""
-        raise TypeError(f"no message for pools: {type(message).__name__}")
+        """Handles a message for a pool or an allocator of this node.
+
+        Raises:
+            TypeError: no handler is registered for the message's type.
+        """
+        raise TypeError(
+            f"no pool handler is registered for {type(message).__name__}"
+        )
 
     @handle.register
     async def _(self, message: Admit) -> Any:
@@ -194,13 +213,16 @@
         future: asyncio.Future[Any] = self._loop.create_future()
         hosted.answers[message.request] = future
         try:
-            self._feed(hosted, message)
+            self._deliver(hosted, message)
             return await future
         finally:
             hosted.answers.pop(message.request, None)
 
     def _is_allowed(self, message: Admit) -> bool:
-        """Checks the place again: the entry node's table may be older."""
+        """Returns whether the table allows the request in this data centre.
+
+        The entry node has checked this too, but its table may be older.
+        """
         table = self._view.state().table
         data_centre, service = pool_parts(message.pool)
         if not message.adapter:
@@ -216,15 +238,15 @@
 
     @handle.register
     async def _(self, message: Finished) -> None:
-        self._feed_pool(message.pool, message)
+        self._deliver_to_pool(message.pool, message)
 
     @handle.register
     async def _(self, message: Holding) -> None:
-        self._feed_pool(message.pool, message)
+        self._deliver_to_pool(message.pool, message)
 
     @handle.register
     async def _(self, message: GrantPermit) -> None:
-        self._feed_pool(message.pool, message)
+        self._deliver_to_pool(message.pool, message)
 
     @handle.register
     async def _(self, message: Announcement) -> None:
@@ -233,7 +255,7 @@
         self._announced[message.name] = message
         hosted = self._hosted.get(pool)
         if hosted is not None:
-            self._feed(hosted, message)
+            self._deliver(hosted, message)
 
     @handle.register
     async def _(self, message: AskPermit) -> None:
@@ -250,74 +272,75 @@
             self._grant_permits(allocator)
 
     async def handle_announcement(self, message: Announcement) -> None:
-        """Takes an announcement that a runner made to this node."""
+        """Handles a runner's announcement; forwards it to the pool's owner."""
         pool = _pool_of(message)
-        self._heard[pool] = self._loop.time()
+        self._announced_at[pool] = self._loop.time()
         await self.handle(message)
         if pool not in self._hosted:
-            self._send_owner(pool, message)
+            self._send_to_owner(pool, message)
 
-    def _feed_pool(self, pool: str, message: Any) -> None:
+    def _deliver_to_pool(self, pool: str, message: Any) -> None:
         hosted = self._hosted.get(pool)
         if hosted is not None:
-            self._feed(hosted, message)
+            self._deliver(hosted, message)
 
-    def _feed(self, hosted: _Hosted, message: Any) -> None:
+    def _deliver(self, hosted: _Hosted, message: Any) -> None:
         hosted.owner.receive(message, self._loop.time())
-        self._carry_out(hosted)
+        self._process_outputs(hosted)
 
     # -- outputs -------------------------------------------------------
 
-    def _carry_out(self, hosted: _Hosted) -> None:
+    def _process_outputs(self, hosted: _Hosted) -> None:
         for item in hosted.owner.take_output():
-            self._emit(item, hosted)
+            self._process_output(item, hosted)
 
     @singledispatchmethod
-    def _emit(self, item: Any, hosted: _Hosted) -> None:
-        raise TypeError(f"no pool output: {type(item).__name__}")
+    def _process_output(self, item: Any, hosted: _Hosted) -> None:
+        raise TypeError(f"no handler for pool output {type(item).__name__}")
 
-    @_emit.register
+    @_process_output.register
     def _(self, item: Reply, hosted: _Hosted) -> None:
         future = hosted.answers.get(item.message.request)
         if future is not None and not future.done():
             future.set_result(item.message)
         elif isinstance(item.message, Granted):
-            # The asker is gone; what it was granted is given back.
+            # The request no longer waits, so its grant is released.
             finished = Finished(item.message.request, hosted.owner.pool)
-            self._loop.call_soon(self._feed, hosted, finished)
+            self._loop.call_soon(self._deliver, hosted, finished)
 
-    @_emit.register
+    @_process_output.register
     def _(self, item: ToAllocator, hosted: _Hosted) -> None:
-        self._send_owner(store_pool_name(item.message.service), item.message)
+        self._send_to_owner(store_pool_name(item.message.service), item.message)
 
-    @_emit.register
+    @_process_output.register
     def _(self, item: SendOrder, hosted: _Hosted) -> None:
-        task = asyncio.create_task(self._carry(hosted, item.order))
+        task = asyncio.create_task(self._execute_order(hosted, item.order))
         hosted.orders.add(task)
         task.add_done_callback(hosted.orders.discard)
 
-    async def _carry(self, hosted: _Hosted, order: Order) -> None:
-        """Sends an order and tells the owner what became of it.
+    async def _execute_order(self, hosted: _Hosted, order: Order) -> None:
+        """Sends an order and passes the verdict on to the owner.
 
-        An owner gives the second order of an adapter or slot only after the
-        first has ended, so orders need not wait for each other here.
+        An owner issues the second order for an adapter or slot only after the
+        first has ended, so orders need no ordering here.
         """
-        began = self._loop.time()
+        started_at = self._loop.time()
         verdict = await self._send_order(order)
         if order.action == LOAD:
-            took = self._loop.time() - began
-            self.observe_load(hosted.owner.service, took)
+            elapsed = self._loop.time() - started_at
+            self.observe_load(hosted.owner.service, elapsed)
         hosted.owner.handle_order_result(order, verdict, self._loop.time())
-        self._carry_out(hosted)
+        self._process_outputs(hosted)
 
     async def _send_order(self, order: Order) -> str:
-        # The last look at the lease, on a clock that freezing doesn't stop.
+        # Checks the lease a last time, on a clock that also counts while the
+        # machine is suspended.
         if not self._view.is_fresh():
             log_message("order:lease_lost", runner=order.runner)
             return FAILED
         return await self._orders.send(order)
 
-    def _send_owner(self, pool: str, message: Any) -> None:
+    def _send_to_owner(self, pool: str, message: Any) -> None:
         state = self._view.state()
         owner = state.owners.get(pool)
         node = state.nodes.get(owner.node) if owner else None
@@ -326,36 +349,36 @@
 
     def _grant_permits(self, allocator: PermitAllocator) -> None:
         for grant in allocator.grant(self._loop.time()):
-            self._send_owner(grant.pool, grant)
+            self._send_to_owner(grant.pool, grant)
 
     # -- time ----------------------------------------------------------
 
     async def run(self) -> None:
         """Ticks pools and allocators and sends digests until cancelled."""
         while True:
-            await asyncio.sleep(_TICK)
+            await asyncio.sleep(_TICK_SECONDS)
             self.tick()
 
     def tick(self) -> None:
-        """Does what the passing of time calls for."""
+        """Grants permits, fences pools, advances owners and sends digests."""
         now = self._loop.time()
         self.sync()
         for allocator in self._allocators.values():
             self._grant_permits(allocator)
         for hosted in list(self._hosted.values()):
-            self._fence(hosted.owner, now)
+            self._fence_if_starting(hosted.owner, now)
             hosted.owner.tick(now)
-            self._carry_out(hosted)
+            self._process_outputs(hosted)
             self._send_digest(hosted, now)
 
-    def _fence(self, owner: PoolOwner, now: float) -> None:
+    def _fence_if_starting(self, owner: PoolOwner, now: float) -> None:
         service = self._view.state().table.services.get(owner.service)
         if service is not None and service.fenced and now < owner.starts_at:
             owner.fence()
 
     def _send_digest(self, hosted: _Hosted, now: float) -> None:
         since = now - hosted.digest_at
-        if since < _DIGEST_EVERY:
+        if since < _DIGEST_INTERVAL_SECONDS:
             return
         nodes = self._nodes_of_region(hosted.owner.pool)
         digest = hosted.owner.build_digest(nodes, now)
@@ -367,18 +390,18 @@
 
     def _nodes_of_region(self, pool: str) -> frozenset[str]:
         state = self._view.state()
-        places = state.table.data_centres
-        here = places.get(pool_parts(pool)[0])
-        region = here.region if here else ""
+        data_centres = state.table.data_centres
+        data_centre = data_centres.get(pool_parts(pool)[0])
+        region = data_centre.region if data_centre else ""
         return frozenset(
             node.address
             for node in state.nodes.values()
-            if node.data_centre in places
-            and places[node.data_centre].region == region
+            if node.data_centre in data_centres
+            and data_centres[node.data_centre].region == region
         )
 
     def is_idle(self) -> bool:
-        """Whether no pool has work left."""
+        """Returns whether no pool has work left."""
         return all(hosted.owner.is_idle() for hosted in self._hosted.values())
 
 
