--- a/src/ridgesill/app/__init__.py
+++ b/src/ridgesill/app/__init__.py
@@ -1,1 +1,1 @@
-"""The wiring of a process, its settings and its command line."""
+"""Processes, their components and settings, and the command line."""
--- a/src/ridgesill/app/account.py
+++ b/src/ridgesill/app/account.py
@@ -1,4 +1,4 @@
-"""Says from logs where requests were lost or late, each by its first cause."""
+"""Counts lost and late requests from logs, each by its first cause."""
 
 import collections
 from collections.abc import Iterable, Iterator
@@ -6,33 +6,42 @@
 
 import attrs
 
-# A part of a request's time counts as the cause of its lateness when it alone
-# took this share of its goal.
-_TELLING_SHARE = 0.5
-# An engine that gave the first event this much later than foretold did what
-# nobody here knew of, in seconds; predictions are some 0.1 s beside it.
-_UNFORETOLD_SECONDS = 0.15
-# Width of the moments that losses are listed by, in seconds.
-_MOMENT_SECONDS = 2.0
-# Reasons of refusals that nothing was lost by: the configuration has no route,
-# or the caller no key.
-_NOT_OWED = frozenset(("no_route", "unknown_key"))
-# Causes, and moments, that a table shows.
-_ROWS_MOST = 24
+# A phase of a request counts as the cause of its lateness if it alone took at
+# least this share of the goal.
+_MAIN_CAUSE_SHARE = 0.5
+# An engine counts as slow if its first event came this many seconds later than
+# predicted. Predictions are off by about 0.1 s.
+_SLOW_ENGINE_SECONDS = 0.15
+# Width of the time intervals in which losses are counted.
+_INTERVAL_SECONDS = 2.0
+# Refusals for these reasons don't count as losses: the configuration has no
+# route for the request, or the caller no valid key.
+_EXCLUDED_REASONS = frozenset(("no_route", "unknown_key"))
+# Rows that a table of causes, routes or customers shows.
+_MAX_ROWS = 24
 
 
 @attrs.frozen
-class End:
-    """The end of a request, as its front has logged it.
+class LoggedEnd:
+    """The end of a request, as its front logged it.
+
+    All durations are in seconds; `first` and `sent` count from the start of
+    the request.
 
     Attributes:
-        at: seconds since 1970.
-        goal: seconds within which the first part of the answer is in time; 0
-            where none is known.
-        first: seconds until it.
-        waited: seconds for a load.
-        sent: seconds until it was last sent to an upstream; 0 if it never was.
-        foretold: seconds from then until the first event, as foretold.
+        at: time of the end, in seconds since 1970.
+        route: the route that the request matched; empty if none.
+        outcome: what became of the request, such as `served` or `refused`.
+        reason: why it was not served; empty if it was.
+        goal: time within which the first part of the answer must be sent; 0
+            if no goal is known.
+        first: time until the first part of the answer.
+        waited: time that the request waited for an adapter to be loaded.
+        sent: time until the request was last sent to an upstream; 0 if it
+            never was.
+        predicted: predicted time from sending until the first event; 0 if
+            there was no prediction.
+        customer: the customer that sent the request; empty if unknown.
     """
 
     at: float
@@ -43,12 +52,12 @@
     first: float
     waited: float
     sent: float
-    foretold: float
+    predicted: float
     customer: str = ""
 
     @property
     def is_in_time(self) -> bool:
-        """Whether its answer began within the goal."""
+        """Returns whether its answer began within the goal."""
         return self.outcome == "served" and (
             not self.goal or self.first <= self.goal
         )
@@ -56,35 +65,39 @@
 
 @attrs.frozen
 class Account:
-    """All ends, and what was lost by cause, route and moment.
+    """Counts of all requests, and of losses by cause, route and interval.
+
+    A loss is a request that was not served in time.
 
     Attributes:
-        ends: of requests that were owed an answer.
-        not_owed: requests beside these, without a route or a key.
-        causes: of requests that were not served in time.
-        routes: of those, by route and cause.
-        moments: of those, by the start of a moment, in seconds from the first.
-        customers: by customer, all ends and those in time.
+        ends: number of requests, without the excluded ones.
+        in_time: number of those that were served in time.
+        excluded: number of further requests, without a route or a valid key.
+        causes: number of losses by cause.
+        routes: number of losses by route and cause.
+        intervals: number of losses by the start of an interval, in seconds
+            from the first end.
+        customers: number of requests and of those in time, by customer.
     """
 
     ends: int
     in_time: int
-    not_owed: int
+    excluded: int
     causes: collections.Counter[str]
     routes: collections.Counter[tuple[str, str]]
-    moments: collections.Counter[float]
+    intervals: collections.Counter[float]
     customers: dict[str, tuple[int, int]]
 
 
 class NoRequestEndsError(Exception):
-    """No line of the files tells the end of a request."""
+    """No log line records the end of a request."""
 
 
-def read_request_ends(lines: Iterable[dict[str, Any]]) -> Iterator[End]:
-    """Yields the ends that log lines tell."""
+def read_request_ends(lines: Iterable[dict[str, Any]]) -> Iterator[LoggedEnd]:
+    """Yields the request ends that log lines record."""
     for line in lines:
         if line.get("message_type") == "request:end":
-            yield End(
+            yield LoggedEnd(
                 float(line.get("timestamp", 0.0)),
                 str(line.get("route", "")),
                 str(line.get("outcome", "")),
@@ -98,49 +111,49 @@
             )
 
 
-def find_cause(end: End) -> str:
+def find_cause(end: LoggedEnd) -> str:
     """Returns why a request was not served in time."""
     if end.outcome == "served":
         return f"late: {_find_delay(end)}"
-    # Without what differs from request to request.
+    # Drops the details that differ between requests with the same cause.
     reason = end.reason.partition(" with ")[0].partition(":")[0]
     return f"{end.outcome}: {reason}" if reason else end.outcome
 
 
-def _find_delay(end: End) -> str:
-    """Returns what took most of a late request's time."""
-    telling = _TELLING_SHARE * end.goal
+def _find_delay(end: LoggedEnd) -> str:
+    """Returns the first phase that took too much of a late request's time."""
+    threshold = _MAIN_CAUSE_SHARE * end.goal
     at_engine = end.first - end.sent
-    if end.waited >= telling:
+    if end.waited >= threshold:
         return "it waited for a load"
-    if end.sent - end.waited >= telling:
+    if end.sent - end.waited >= threshold:
         return "its front or the owner was slow to send it"
-    if end.foretold and at_engine > end.foretold + _UNFORETOLD_SECONDS:
-        return "the engine was slower than foretold"
-    if end.foretold >= telling:
-        return "it was behind others, or long itself, as foretold"
-    if not end.foretold:
-        return "the upstream was slow; nothing was foretold"
-    return "no part took half of the goal"
+    if end.predicted and at_engine > end.predicted + _SLOW_ENGINE_SECONDS:
+        return "the engine was slower than predicted"
+    if end.predicted >= threshold:
+        return "it queued behind others or was long itself, as predicted"
+    if not end.predicted:
+        return "the upstream was slow; there was no prediction"
+    return "no phase took half of the goal"
 
 
 def make_account(lines: Iterable[dict[str, Any]]) -> Account:
-    """Returns the account of the requests that lines tell of.
+    """Returns the account of the requests whose ends the lines record.
 
     Raises:
-        NoRequestEndsError: they tell of none.
+        NoRequestEndsError: no line records the end of a request.
     """
-    read = list(read_request_ends(lines))
-    ends = [end for end in read if end.reason not in _NOT_OWED]
+    all_ends = list(read_request_ends(lines))
+    ends = [end for end in all_ends if end.reason not in _EXCLUDED_REASONS]
     if not ends:
         raise NoRequestEndsError(
-            "no line tells the end of a request; give the logs of all fronts"
+            "no line records the end of a request; give the logs of all fronts"
         )
-    began_at = min(end.at for end in ends)
+    started_at = min(end.at for end in ends)
     account = Account(
         len(ends),
         sum(end.is_in_time for end in ends),
-        len(read) - len(ends),
+        len(all_ends) - len(ends),
         collections.Counter(),
         collections.Counter(),
         collections.Counter(),
@@ -152,12 +165,14 @@
         cause = find_cause(end)
         account.causes[cause] += 1
         account.routes[end.route, cause] += 1
-        moment = (end.at - began_at) // _MOMENT_SECONDS * _MOMENT_SECONDS
-        account.moments[moment] += 1
+        interval = (
+            (end.at - started_at) // _INTERVAL_SECONDS * _INTERVAL_SECONDS
+        )
+        account.intervals[interval] += 1
     return account
 
 
-def _count_customers(ends: list[End]) -> dict[str, tuple[int, int]]:
+def _count_customers(ends: list[LoggedEnd]) -> dict[str, tuple[int, int]]:
     counts: dict[str, tuple[int, int]] = {}
     for end in ends:
         if end.customer:
@@ -167,51 +182,54 @@
 
 
 def format_account(account: Account) -> str:
-    """Returns an account as text."""
+    """Returns an account as text for the terminal."""
     lost = account.ends - account.in_time
     lines = [
         f"{account.ends} requests ended, {account.in_time} in time, "
         f"{lost} not ({lost / account.ends:.1%}); "
-        f"{account.not_owed} more had no route or no key",
+        f"{account.excluded} more had no route or no key",
         "",
-        *_show_counts("by cause", account.causes, account.ends),
+        *_format_counts("by cause", account.causes, account.ends),
         "",
-        *_show_counts("by route and cause", account.routes, account.ends),
+        *_format_counts("by route and cause", account.routes, account.ends),
         "",
-        *_show_customers(account.customers),
+        *_format_customers(account.customers),
         "by moment, in seconds from the first end",
     ]
-    most = max(account.moments.values(), default=1)
-    for moment in sorted(account.moments):
-        count = account.moments[moment]
-        lines.append(f"{moment:8.0f} {count:7d} {'#' * (40 * count // most)}")
+    largest = max(account.intervals.values(), default=1)
+    for interval in sorted(account.intervals):
+        count = account.intervals[interval]
+        lines.append(
+            f"{interval:8.0f} {count:7d} {'#' * (40 * count // largest)}"
+        )
     return "\n".join(lines)
 
 
-def _show_customers(customers: dict[str, tuple[int, int]]) -> list[str]:
+def _format_customers(customers: dict[str, tuple[int, int]]) -> list[str]:
     """Returns lines on the customers with the most requests."""
     if not customers:
         return []
-    most = sorted(customers.items(), key=lambda item: item[1], reverse=True)
+    ranked = sorted(customers.items(), key=lambda item: item[1], reverse=True)
     lines = ["by customer: requests, share in time"]
     lines += [
         f"{ended:8d} {in_time / ended:7.2%}  {name}"
-        for name, (ended, in_time) in most[:_ROWS_MOST]
+        for name, (ended, in_time) in ranked[:_MAX_ROWS]
     ]
     return [*lines, ""]
 
 
-def _show_counts(
+def _format_counts(
     title: str, counts: collections.Counter[Any], ends: int
 ) -> list[str]:
-    shown = counts.most_common(_ROWS_MOST)
+    shown = counts.most_common(_MAX_ROWS)
     lines = [title]
     lines += [
-        f"{count:8d} {count / ends:7.2%}  {_name(key)}" for key, count in shown
+        f"{count:8d} {count / ends:7.2%}  {_format_key(key)}"
+        for key, count in shown
     ]
     rest = counts.total() - sum(count for _, count in shown)
     return [*lines, f"{rest:8d}          others"] if rest else lines
 
 
-def _name(key: Any) -> str:
+def _format_key(key: Any) -> str:
     return key if isinstance(key, str) else "  ".join(key)
--- a/src/ridgesill/app/change_signal.py
+++ b/src/ridgesill/app/change_signal.py
@@ -1,21 +1,25 @@
-"""Wakes tasks that wait for something to change."""
+"""A signal that wakes the tasks that wait for a change."""
 
 import asyncio
 
 
 class ChangeSignal:
-    """Tells everyone who waits of a change, and nobody who comes later."""
+    """Wakes all current waiters; later ones wait for the next change."""
 
     def __init__(self) -> None:
         self._changed = asyncio.Event()
 
     def notify(self) -> None:
-        """Wakes everyone who waits now."""
+        """Wakes all tasks that are waiting now."""
         self._changed.set()
         self._changed = asyncio.Event()
 
     async def wait(self, seconds: float) -> bool:
-        """Returns whether there is a change within some seconds."""
+        """Waits for the next change; returns False if it takes too long.
+
+        Args:
+            seconds: how long to wait at most.
+        """
         try:
             await asyncio.wait_for(self._changed.wait(), seconds)
         except TimeoutError:
--- a/src/ridgesill/app/cli.py
+++ b/src/ridgesill/app/cli.py
@@ -1,4 +1,4 @@
-"""The command line."""
+"""The command line of ridgesill."""
 
 import asyncio
 import sys
@@ -11,24 +11,24 @@
 
 from ridgesill.adapters.ini import IniError
 
-_TIMEOUT = 30.0
+_TIMEOUT_SECONDS = 30.0
 
 
 class CommandError(Exception):
-    """A command that failed; says what to do next."""
+    """A command failed; the message says what to do next."""
 
 
 class Commands:
-    """Ridgesill serves very many LoRA adapters on runners with few slots.
+    """Ridgesill serves many LoRA adapters on runners with few slots.
 
-    Run `ridgesill COMMAND --help` for one command.
+    Run `ridgesill COMMAND --help` for the arguments of a command.
     """
 
     def found(self, settings: str) -> str:
-        """Makes a first voter's empty data folder the start of a new log.
+        """Initialises the empty data folder of one of the first voters.
 
-        Run it once on each VM that [voters] seeds names, before any node
-        runs; never again after a disk was lost.
+        Run it once on each VM that is listed in [voters] seeds, before any
+        node runs. Don't run it again after a disk was lost.
 
         Args:
             settings: path of the node's settings file.
@@ -39,13 +39,13 @@
         read = read_settings(settings)
         if not read.data_folder or read.name not in read.seeds:
             raise CommandError(
-                f"{settings}: only a node with a data folder that [voters] "
-                "seeds names can found the log"
+                f"{settings}: only a node that has a data folder and is listed "
+                "in [voters] seeds can found the log"
             )
         return f"founded {found_log(read)}"
 
     def node(self, settings: str) -> None:
-        """Runs a node until SIGTERM, which lets work in progress finish.
+        """Runs a node until SIGTERM; work in progress is then finished.
 
         Args:
             settings: path of the node's settings file.
@@ -66,19 +66,19 @@
             runner.run(run())
 
     def front(self) -> None:
-        """Runs a front on the users' platform until SIGTERM."""
+        """Runs a front until SIGTERM."""
         from ridgesill.app.platform_roles import run_front
 
         run_front()
 
     def control(self) -> None:
-        """Runs a control node on the users' platform until SIGTERM."""
+        """Runs a control node until SIGTERM."""
         from ridgesill.app.platform_roles import run_control
 
         run_control()
 
     def explain(self, request: str, *files: str) -> str:
-        """Says from logs what became of one request, and why.
+        """Explains the outcome of one request from the logs.
 
         Args:
             request: the request's id.
@@ -96,11 +96,11 @@
             raise CommandError(str(error)) from error
 
     def account(self, *files: str) -> str:
-        """Says from logs how many requests were not in time, and why.
+        """Counts the requests that failed or were late, by cause, from logs.
 
         Args:
             files: paths of the logs of all fronts; lines of other processes
-                are passed over.
+                are ignored.
         """
         from ridgesill.app.account import (
             NoRequestEndsError,
@@ -115,58 +115,59 @@
             raise CommandError(str(error)) from error
 
     def quarantine(self, control: str) -> str:
-        """Lists the requests that get no upstream, and what ended under them.
+        """Lists the requests in quarantine and the upstreams that they ended.
 
-        `request:quarantined` in the logs of fronts names the requests that
-        were refused for it.
+        Requests in quarantine are sent to no upstream. The fronts log each such
+        refusal as `request:quarantined`.
 
         Args:
             control: IP:PORT of any control node's control address.
         """
         from ridgesill.platform.control_calls import QUARANTINE_PATH
 
-        said = _read_answer("GET", control, QUARANTINE_PATH)
-        return _pretty(said)
+        answer = _call_control("GET", control, QUARANTINE_PATH)
+        return _format_json(answer)
 
     def lift(self, request: str, control: str) -> str:
-        """Has a request in quarantine get upstreams again.
+        """Releases a request from quarantine.
 
-        Do so once upstreams no longer end under it, as with a repaired
-        version; if they do, it is in quarantine again after three ends.
+        Do so once the request no longer ends upstreams, for example after
+        a repaired version was deployed. If it ends three more upstreams, it
+        is put into quarantine again.
 
         Args:
-            request: as `quarantine` names it.
+            request: the request's name in the output of `quarantine`.
             control: IP:PORT of any control node's control address.
         """
         from ridgesill.platform.control_calls import LIFT_PATH
 
-        _read_answer("POST", control, f"{LIFT_PATH}{request}")
-        return f"{request}: gets upstreams again"
+        _call_control("POST", control, f"{LIFT_PATH}{request}")
+        return f"{request}: released from quarantine"
 
     def quota(self, control: str) -> str:
-        """Lists limited customers, what they send, and how much is refused.
+        """Lists limited customers, their use and how much of it is refused.
 
         Args:
             control: IP:PORT of the control address of the fleet's owner; any
-                other control node names it.
+                other control node answers with the owner's address.
         """
         from ridgesill.platform.control_calls import QUOTAS_PATH
 
-        return _pretty(_read_answer("GET", control, QUOTAS_PATH))
+        return _format_json(_call_control("GET", control, QUOTAS_PATH))
 
     def limits(self, control: str) -> str:
-        """Lists upstreams that have named limits, and what they get.
+        """Lists upstreams that stated a rate limit, and the rates they get.
 
         Args:
             control: IP:PORT of the control address of the fleet's owner; any
-                other control node names it.
+                other control node answers with the owner's address.
         """
         from ridgesill.platform.control_calls import LIMITS_PATH
 
-        return _pretty(_read_answer("GET", control, LIMITS_PATH))
+        return _format_json(_call_control("GET", control, LIMITS_PATH))
 
     def check(self, file: str) -> str:
-        """Checks a configuration file and lists everything wrong with it.
+        """Checks a configuration file and lists all problems.
 
         Args:
             file: path of the configuration file.
@@ -183,21 +184,21 @@
     def apply(
         self, file: str, admin: str, token_file: str, operation: str = ""
     ) -> str:
-        """Applies a configuration file as a whole.
+        """Replaces the configuration in force by a file.
 
         Args:
             file: path of the configuration file.
             admin: IP:PORT of any node's administration interface.
             token_file: path of the file that holds the token.
-            operation: names this attempt; give the same one to send a file
-                again whose answer was lost.
+            operation: id of this attempt; pass the same id to resend a file
+                whose answer was lost.
         """
         from ridgesill.adapters.configuration_ini import read_configuration
 
         declared = read_configuration(file)
         body = msgspec.json.encode(declared)
         headers = {"X-Operation-Id": operation or uuid.uuid4().hex}
-        answer = _ask(
+        answer = _call_admin(
             admin, token_file, "POST", "/v1/configuration", body, headers
         )
         if answer.get("verdict") != "accepted":
@@ -205,13 +206,15 @@
         return f"{file}: {answer['detail']}"
 
     def show(self, admin: str, token_file: str) -> str:
-        """Shows which configuration is in force on a node.
+        """Shows the configuration that is in force on a node.
 
         Args:
             admin: IP:PORT of the node's administration interface.
             token_file: path of the file that holds the token.
         """
-        return _pretty(_ask(admin, token_file, "GET", "/v1/configuration"))
+        return _format_json(
+            _call_admin(admin, token_file, "GET", "/v1/configuration")
+        )
 
     def status(self, admin: str, token_file: str) -> str:
         """Shows nodes, voters, pools with their owners, and runners.
@@ -220,35 +223,35 @@
             admin: IP:PORT of any node's administration interface.
             token_file: path of the file that holds the token.
         """
-        return _pretty(_ask(admin, token_file, "GET", "/v1/status"))
+        return _format_json(_call_admin(admin, token_file, "GET", "/v1/status"))
 
     def drain(self, admin: str, token_file: str) -> str:
-        """Has a node finish its work, hand over its pools and stop.
+        """Makes a node finish its work, release its pools and stop.
 
         Args:
             admin: IP:PORT of the node's administration interface.
             token_file: path of the file that holds the token.
         """
-        _ask(admin, token_file, "POST", "/v1/drain")
+        _call_admin(admin, token_file, "POST", "/v1/drain")
         return f"{admin}: draining"
 
     def stand_in(self, settings: str) -> None:
-        """Runs a stand-in for a runner or a plain service, for trials.
+        """Runs a simulated runner or plain service for tests.
 
         Args:
-            settings: path of the stand-in's settings file.
+            settings: path of the simulated service's settings file.
         """
         from ridgesill.standin.process import run_stand_in
 
         run_stand_in(settings)
 
     def replay(self, trace: str, nodes: str, speed: float = 1.0) -> str:
-        """Replays a trace against running nodes and checks its outcomes.
+        """Replays a trace against running nodes and checks the outcomes.
 
         Args:
-            trace: path of the trace, JSON lines.
+            trace: path of the trace, a file of JSON lines.
             nodes: IP:PORT of callers' listeners, separated by commas.
-            speed: how many times faster than recorded.
+            speed: factor by which to replay faster than recorded.
         """
         from ridgesill.standin.replay import Player
         from ridgesill.standin.traces import read_trace
@@ -257,7 +260,7 @@
             requests = read_trace(Path(trace))
         except (OSError, ValueError) as error:
             raise CommandError(f"{trace}: {error}") from error
-        totals = Player(_split(nodes)).play(requests, speed)
+        totals = Player(_split_addresses(nodes)).play(requests, speed)
         for line in totals.unexpected[:20]:
             print(line)
         if totals.unexpected:
@@ -273,15 +276,15 @@
         seed: int = 1,
         trace: str = "",
     ) -> str:
-        """Sends a made load to running nodes, or writes it as a trace.
+        """Sends a synthetic load to running nodes, or writes it as a trace.
 
         Args:
             nodes: IP:PORT of callers' listeners, separated by commas.
-            adapters: how many adapters `adapter-0000` and on are declared.
-            rate: requests a second.
-            seconds: how long.
-            seed: equal seeds make equal loads.
-            trace: path to write the trace to, instead of sending it.
+            adapters: number of declared adapters, from `adapter-0000` on.
+            rate: requests per second.
+            seconds: duration of the load.
+            seed: seed of the random generator; equal seeds give equal loads.
+            trace: path to write the load to as a trace, instead of sending it.
         """
         from ridgesill.standin.replay import Player
         from ridgesill.standin.traces import Workload, make_trace, write_trace
@@ -293,18 +296,19 @@
         if trace:
             write_trace(requests, Path(trace))
             return f"{trace}: {len(requests)} requests"
-        return Player(_split(nodes)).play(requests).line()
+        return Player(_split_addresses(nodes)).play(requests).line()
 
     def experiment(self, plan: str, out: str, jobs: int = 0) -> str:
-        """Plays emulated days with variants of the decisions, side by side.
+        """Simulates days of traffic with variants of the decision rules.
 
-        Writes each run as a JSON line, tables and plots into a folder. Needs
-        requirements/experiment.txt beside the program.
+        Writes each run as a JSON line, and tables and plots, into a folder.
+        Needs the packages in requirements/experiment.txt.
 
         Args:
-            plan: path of the experiment, TOML; docs/how-to/experiment.md.
+            plan: path of the plan, TOML; see docs/how-to/experiment.md.
             out: path of the folder to write to.
-            jobs: processes at once; 0 for all processors but one.
+            jobs: number of parallel processes; 0 for one per processor but
+                one.
         """
         from ridgesill.standin.experiment.plan import PlanError, read_plan
         from ridgesill.standin.experiment.report import write_report
@@ -315,7 +319,7 @@
             raise CommandError(str(error)) from error
 
 
-def _ask(
+def _call_admin(
     admin: str,
     token_file: str,
     method: str,
@@ -323,22 +327,28 @@
     body: bytes = b"",
     headers: dict[str, str] | None = None,
 ) -> Any:
-    # Not at the top: it takes 0.06 of the 0.47 s of processor time in which a
-    # front or control node starts, and these don't use it.
+    """Returns the decoded JSON answer of a node's administration interface.
+
+    Raises:
+        CommandError: the token cannot be read or is not accepted, or the node
+            cannot be reached or answered with no JSON.
+    """
+    # Imported here because it takes 0.06 s of the 0.47 s of processor time
+    # that a front or control node needs to start, and they don't use it.
     import urllib3
 
     try:
         token = Path(token_file).read_text().strip()
     except OSError as error:
         raise CommandError(f"{token_file}: {error.strerror}") from error
-    sent = {"Authorization": f"Bearer {token}", **(headers or {})}
+    all_headers = {"Authorization": f"Bearer {token}", **(headers or {})}
     try:
         response = urllib3.request(
             method,
             f"http://{admin}{path}",
             body=body,
-            headers=sent,
-            timeout=_TIMEOUT,
+            headers=all_headers,
+            timeout=_TIMEOUT_SECONDS,
             retries=False,
         )
     except urllib3.exceptions.HTTPError as error:
@@ -347,44 +357,59 @@
             "[listen] admin address?"
         ) from error
     if response.status == 401:
-        raise CommandError(f"{admin} does not accept the token in {token_file}")
+        raise CommandError(
+            f"{admin} does not accept the token in {token_file}; give the "
+            "file that the node's [admin] token_file names"
+        )
     try:
         return msgspec.json.decode(response.data)
     except msgspec.DecodeError as error:
-        raise CommandError(f"{admin}: status {response.status}") from error
+        raise CommandError(
+            f"{method} {path} with {admin}: status {response.status} without "
+            "a JSON body; is this a node's [listen] admin address?"
+        ) from error
 
 
-def _read_answer(method: str, control: str, path: str) -> Any:
-    """Returns what a control node answers to a call on the users' platform."""
+def _call_control(method: str, control: str, path: str) -> Any:
+    """Returns the decoded JSON answer of a control node.
+
+    Raises:
+        CommandError: the node cannot be reached or answered with an error.
+    """
     import urllib3
 
     try:
         response = urllib3.request(
-            method, f"http://{control}{path}", timeout=_TIMEOUT, retries=False
+            method,
+            f"http://{control}{path}",
+            timeout=_TIMEOUT_SECONDS,
+            retries=False,
         )
-        said = msgspec.json.decode(response.data)
+        answer = msgspec.json.decode(response.data)
     except (urllib3.exceptions.HTTPError, msgspec.DecodeError) as error:
         raise CommandError(
             f"{method} {path} with {control}: {error}; is this a control "
             "node's control address?"
         ) from error
     if response.status != 200:
-        raise CommandError(f"{control}: {said.get('detail', response.status)}")
-    return said
+        raise CommandError(
+            f"{control}: {answer.get('detail', response.status)}"
+        )
+    return answer
 
 
-def _split(nodes: Any) -> tuple[str, ...]:
-    # `fire` itself may already have split the list.
+def _split_addresses(nodes: Any) -> tuple[str, ...]:
+    # `fire` already turns some comma-separated values into tuples.
     parts = nodes if isinstance(nodes, tuple | list) else str(nodes).split(",")
     return tuple(str(part).strip() for part in parts)
 
 
-def _pretty(value: Any) -> str:
+def _format_json(value: Any) -> str:
     return msgspec.json.format(msgspec.json.encode(value), indent=2).decode()
 
 
 def main() -> None:
-    """Runs the command line; problems end with a message and status 1."""
+    """Runs the command line; exits with status 1 if the command fails."""
     try:
         fire.Fire(Commands, name="ridgesill")
     except (CommandError, IniError) as error:
--- a/src/ridgesill/app/clock.py
+++ b/src/ridgesill/app/clock.py
@@ -1,16 +1,17 @@
-"""The event loop of a process, on a clock that freezing does not stop."""
+"""An event loop whose clock also counts while the machine is suspended."""
 
 import asyncio
 import time
 
 
 class BootClockLoop(asyncio.SelectorEventLoop):
-    """An event loop whose time also counts while the machine is suspended.
+    """An event loop that uses the boot-time clock.
 
-    Leases are checked on `time()`; with the monotonic clock of a suspended
-    VM, an owner could believe in a lease that has long been granted anew.
+    Leases are checked against `time()`. The monotonic clock stops while a VM
+    is suspended, so an owner could still use a lease that has expired and
+    been granted to another owner.
     """
 
     def time(self) -> float:
-        """Returns seconds since the machine started."""
+        """Returns the seconds since the machine booted."""
         return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/src/ridgesill/app/explain.py
+++ b/src/ridgesill/app/explain.py
@@ -1,14 +1,14 @@
-"""Gathers from logs what became of one request, and says it in a sentence."""
+"""Collects the log lines of one request and summarises its outcome."""
 
 import json
 from collections.abc import Iterable, Iterator
 from pathlib import Path
 from typing import Any
 
-# How far from the request's own lines the owner's lines on its adapter are
-# still of interest, in seconds; clocks of VMs differ by some milliseconds.
-_NEARBY_SECONDS = 0.5
-_ENDS = {
+# Lines of other processes are shown if they are at most this many seconds
+# before or after the request. Clocks of VMs differ by some milliseconds.
+_CONTEXT_SECONDS = 0.5
+_OUTCOME_TEXTS = {
     "served": "was served",
     "refused": "was refused, and has not run",
     "failed": "got the upstream's own failure",
@@ -19,72 +19,84 @@
 
 
 class NoSuchRequestError(Exception):
-    """No line of the files names the request."""
+    """No log line names the request."""
 
 
 def read_lines(paths: Iterable[str]) -> list[dict[str, Any]]:
-    """Returns the JSON lines of files, by time; others are passed over.
+    """Returns the log lines in files, sorted by time; other text is ignored.
 
-    Several may stand in one line of a file, where a reader of many processes
-    has joined them.
+    One line of a file may hold several log lines, as when a reader of many
+    processes has joined them.
+
+    Raises:
+        OSError: a file cannot be read.
     """
     lines: list[dict[str, Any]] = []
     for path in paths:
         for text in Path(path).read_text(errors="replace").splitlines():
-            lines.extend(_objects(text))
-    return sorted(lines, key=_time)
+            lines.extend(_parse_objects(text))
+    return sorted(lines, key=_read_time)
 
 
-def _objects(text: str) -> Iterator[dict[str, Any]]:
+def _parse_objects(text: str) -> Iterator[dict[str, Any]]:
+    """Yields the JSON objects in a text that have a message type."""
     decoder = json.JSONDecoder()
-    at = text.find("{")
-    while at >= 0:
+    start = text.find("{")
+    while start >= 0:
         try:
-            found, end = decoder.raw_decode(text, at)
+            found, end = decoder.raw_decode(text, start)
         except ValueError:
-            end = at + 1
+            end = start + 1
         else:
             if "message_type" in found:
                 yield found
-        at = text.find("{", end)
+        start = text.find("{", end)
 
 
 def explain(request: str, lines: list[dict[str, Any]]) -> str:
-    """Returns the lines on a request in order, and what became of it.
+    """Returns a request's log lines in order, and a summary of its outcome.
 
     Raises:
-        NoSuchRequestError: no line names it.
+        NoSuchRequestError: no line names the request.
     """
-    own = [line for line in lines if line.get("request") == request]
-    if not own:
+    own_lines = [line for line in lines if line.get("request") == request]
+    if not own_lines:
         raise NoSuchRequestError(
             f"no line names request {request}; give the logs of every front "
             "and control node, and look for `log:dropped` lines near its time"
         )
-    nearby = _lines_nearby(own, lines)
-    shown = sorted([*own, *nearby], key=_time)
-    return "\n".join([*map(_show, shown), _conclude(request, own)])
+    context = _find_context_lines(own_lines, lines)
+    shown = sorted([*own_lines, *context], key=_read_time)
+    return "\n".join(
+        [*map(_format_line, shown), _summarise(request, own_lines)]
+    )
 
 
-def _lines_nearby(
-    own: list[dict[str, Any]], lines: list[dict[str, Any]]
+def _find_context_lines(
+    own_lines: list[dict[str, Any]], lines: list[dict[str, Any]]
 ) -> list[dict[str, Any]]:
-    """Returns other processes' lines on what the request needed."""
-    artifacts = {line["artifact"] for line in own if line.get("artifact")}
-    upstreams = {line["upstream"] for line in own if line.get("upstream")}
-    ended = own[-1]
-    began_at = _time(ended) - float(ended.get("seconds", 0.0))
-    first, last = began_at - _NEARBY_SECONDS, _time(ended) + _NEARBY_SECONDS
+    """Returns lines on the artifacts and upstreams that a request used.
+
+    They come from other processes and are from the time of the request.
+    """
+    artifacts = {line["artifact"] for line in own_lines if line.get("artifact")}
+    upstreams = {line["upstream"] for line in own_lines if line.get("upstream")}
+    ended = own_lines[-1]
+    started_at = _read_time(ended) - float(ended.get("seconds", 0.0))
+    first, last = (
+        started_at - _CONTEXT_SECONDS,
+        _read_time(ended) + _CONTEXT_SECONDS,
+    )
     return [
         line
         for line in lines
-        if first <= _time(line) <= last
+        if first <= _read_time(line) <= last
         and "request" not in line
-        and _concerns(line, artifacts, upstreams)
+        and _is_relevant(line, artifacts, upstreams)
     ]
 
 
-def _concerns(
+def _is_relevant(
     line: dict[str, Any], artifacts: set[str], upstreams: set[str]
 ) -> bool:
     kind = line["message_type"]
@@ -101,33 +113,37 @@
     )
 
 
-def _time(line: dict[str, Any]) -> float:
+def _read_time(line: dict[str, Any]) -> float:
     return float(line.get("timestamp", 0.0))
 
 
-def _show(line: dict[str, Any]) -> str:
-    rest = " ".join(
+def _format_line(line: dict[str, Any]) -> str:
+    fields = " ".join(
         f"{key}={value}"
         for key, value in line.items()
         if key not in ("timestamp", "vm", "message_type", "request")
         and value not in ("", None)
     )
     kind = line["message_type"]
-    return f"{_time(line):.4f} {line.get('vm', '')} {kind} {rest}"
+    return f"{_read_time(line):.4f} {line.get('vm', '')} {kind} {fields}"
 
 
-def _conclude(request: str, own: list[dict[str, Any]]) -> str:
-    ends = [line for line in own if line["message_type"] == "request:end"]
+def _summarise(request: str, own_lines: list[dict[str, Any]]) -> str:
+    ends = [line for line in own_lines if line["message_type"] == "request:end"]
     if not ends:
-        return f"{request}: no end is logged; its front may have been lost"
+        return f"{request}: no end is logged; its front may have stopped"
     end = ends[-1]
-    said = _ENDS.get(str(end.get("outcome")), str(end.get("outcome")))
-    parts = [f"{request} {said} after {end.get('seconds')} s"]
+    outcome = _OUTCOME_TEXTS.get(
+        str(end.get("outcome")), str(end.get("outcome"))
+    )
+    parts = [f"{request} {outcome} after {end.get('seconds')} s"]
     if end.get("reason"):
         parts.append(f"because of: {end['reason']}")
     if end.get("waited"):
         parts.append(f"it waited {end['waited']} s for {end.get('artifact')}")
-    failed = [x for x in own if x["message_type"] == "request:attempt_failed"]
+    failed = [
+        x for x in own_lines if x["message_type"] == "request:attempt_failed"
+    ]
     if failed:
         parts.append(f"{len(failed)} of its attempts failed")
     return "; ".join(parts)
--- a/src/ridgesill/app/log_founding.py
+++ b/src/ridgesill/app/log_founding.py
@@ -1,4 +1,4 @@
-"""Makes the first voters' empty data folders the start of one log."""
+"""Initialises the data folders of the first voters of the log."""
 
 from pathlib import Path
 
@@ -10,15 +10,15 @@
 
 
 def founding_identity(name: str) -> str:
-    """Returns the voting identity of a founding node."""
+    """Returns the voting identity of one of the first voters."""
     return f"{name}.{_FIRST_GENERATION}"
 
 
 def found_log(settings: Settings) -> str:
-    """Founds this node's data folder; returns its voting identity.
+    """Initialises this node's data folder; returns its voting identity.
 
-    To be called once for each seed before anything runs. A folder that was
-    lost later must not be founded again: the node then joins by itself.
+    Call it once for each seed before any node runs. Don't call it again for a
+    folder that was lost later: the node then joins without it.
     """
     identity = founding_identity(settings.name)
     voters = tuple(founding_identity(name) for name in sorted(settings.seeds))
--- a/src/ridgesill/app/platform_node.py
+++ b/src/ridgesill/app/platform_node.py
@@ -1,4 +1,4 @@
-"""What fronts and control nodes on the users' platform are built from alike."""
+"""Builds the components that fronts and control nodes have in common."""
 
 import secrets
 import zlib
@@ -11,17 +11,22 @@
 from ridgesill.platform.settings import PlatformSettings
 from ridgesill.ports.peers import Peers
 
-# A front leaves a voter that has been out of touch with the leader for longer
-# than this, in seconds: a change must be in force two seconds after it was
-# accepted. Voters ask the leader at least as often as the wait says.
+# A front stops following a voter that has had no contact with the leader for
+# longer than this lease, so that a change is in force two seconds after it was
+# accepted. Voters ask the leader at least once per wait.
 _FOLLOW_LEASE_SECONDS = 1.2
 _FOLLOW_WAIT_SECONDS = 0.3
-# Within which a channel to an upstream must come up, in seconds.
+# Time limit for connecting to an upstream.
 CONNECT_TIMEOUT_SECONDS = 0.4
 
 
 def make_node(settings: PlatformSettings, voter: str = "") -> Node:
-    """Returns this process as its peers know it, named by its address."""
+    """Returns this process as a node that is named by its peer address.
+
+    Args:
+        settings: settings of the process.
+        voter: voting identity; empty for a node that does not vote.
+    """
     return Node(
         settings.peers,
         secrets.token_hex(4),
@@ -34,7 +39,7 @@
 def make_control(
     settings: PlatformSettings, node: Node, peers: Peers
 ) -> Control:
-    """Returns a node's part in the control plane."""
+    """Returns the control-plane component of a node."""
     return Control(
         node,
         ControlSettings(
@@ -50,7 +55,7 @@
 
 
 def decode_newer_routes(state: State, held: RouteTable) -> RouteTable | None:
-    """Returns the routes in force if they are later than those held."""
+    """Returns the routes in force, or None if they are not newer than held."""
     if state.routes_version <= held.version:
         return None
     return decode_configuration(zlib.decompress(state.routes_document))
--- a/src/ridgesill/app/platform_roles.py
+++ b/src/ridgesill/app/platform_roles.py
@@ -1,4 +1,4 @@
-"""Starts the processes that run on the users' platform."""
+"""Runs the processes of the platform: fronts and control nodes."""
 
 import asyncio
 from collections.abc import Callable
@@ -28,6 +28,7 @@
 
 
 def _run(make: Callable[[PlatformSettings], Any]) -> None:
+    """Reads the settings, opens the log and runs a process until it stops."""
     settings = read_settings(settings_path())
 
     async def run() -> None:
--- a/src/ridgesill/app/settings.py
+++ b/src/ridgesill/app/settings.py
@@ -1,4 +1,4 @@
-"""The settings of a node's process, from one INI file."""
+"""The settings of a node, read from one INI file."""
 
 from pathlib import Path
 from typing import Any
@@ -23,7 +23,8 @@
 
     Attributes:
         seeds: addresses of the first voters by node name.
-        data_folder: makes the node a voter; empty for one without a disk.
+        data_folder: path of the log on disk, which makes the node a voter;
+            empty for a node without a disk.
     """
 
     name: str
@@ -53,12 +54,14 @@
 
     @property
     def uses_tls(self) -> bool:
-        """Whether nodes talk over mutual TLS."""
+        """Returns whether nodes connect to each other over mutual TLS."""
         return bool(self.certificate)
 
 
 @attrs.frozen
 class _Key:
+    """A settings key: its section and name, converter and default."""
+
     section: str
     field: str
     convert: Any
@@ -66,7 +69,11 @@
 
 
 def to_seeds(text: str) -> dict[str, str]:
-    """Returns addresses by name, from `name=IP:PORT, ...`."""
+    """Returns addresses by node name, from `name=IP:PORT, ...`.
+
+    Raises:
+        ValueError: an entry lacks `=`, or its name or address is not valid.
+    """
     seeds = {}
     for part in text.split(","):
         name, separator, address = part.strip().partition("=")
@@ -108,7 +115,7 @@
     """Returns the settings in a file.
 
     Raises:
-        IniError: something is wrong; it lists everything that is.
+        IniError: the file has problems; the error lists all of them.
     """
     reader = IniReader.open(path)
     values = {
@@ -137,7 +144,7 @@
 
 
 def _check_token(reader: IniReader, path: str | None) -> None:
-    if path and not _is_filled(path):
+    if path and not _has_content(path):
         expected = "expected a readable file that holds the token"
         reader.report("admin", "token_file", f"{expected}, not {path!r}")
 
@@ -148,12 +155,12 @@
     if not given:
         return
     for field in fields:
-        if not values[field] or not _is_filled(values[field]):
+        if not values[field] or not _has_content(values[field]):
             expected = "expected a PEM file; [tls] needs all three keys"
             reader.report("tls", field, expected)
 
 
-def _is_filled(path: str) -> bool:
+def _has_content(path: str) -> bool:
     try:
         return bool(Path(path).read_text().strip())
     except (OSError, UnicodeDecodeError):
--- a/src/ridgesill/app/telemetry.py
+++ b/src/ridgesill/app/telemetry.py
@@ -1,9 +1,9 @@
-"""Serves a process's figures; its instruments are made when first asked for.
+"""Serves a process's metrics; creates the instruments on the first request.
 
-Their libraries take 5 MB of memory (resident size of a front before and after)
-and, on these machines, a good part of a second of processor time, which a
-process that has just started needs for its clients. They are imported on the
-event loop's own thread, so that a front has no other one.
+The metrics libraries add 5 MB to the resident memory of a front and take a
+large part of a second of processor time to import, which a process that has
+just started needs for its clients. They are imported on the thread of the event
+loop, so that a front needs no other thread.
 """
 
 import asyncio
@@ -17,24 +17,25 @@
 from ridgesill.ports.http import HttpRequest, Responder
 from ridgesill.ports.telemetry import KeptTelemetry, Telemetry
 
-# Imported one after the other, so that requests go on in between.
+# Imported one at a time, so that requests are handled in between.
 _MODULES = (
     "prometheus_client",
     "opentelemetry.metrics",
     "opentelemetry.sdk.metrics",
     "ridgesill.adapters.serving_metrics",
 )
-# Between two of them, in seconds.
+# Pause after each import.
 _PAUSE_SECONDS = 0.02
-_TEXT = b"text/plain; version=0.0.4"
+_CONTENT_TYPE = b"text/plain; version=0.0.4"
 
 
 class Instruments:
-    """The instruments of a process, made when they are first asked for.
+    """The metrics instruments of a process, created when first rendered.
 
     Args:
-        gauges: what is read whenever the figures are asked for.
-        swap: called with the instruments; returns what kept counts until then.
+        gauges: functions by metric name that return the current values.
+        swap: installs the instruments in the process; returns the telemetry
+            that they replace, whose observations are handed over.
     """
 
     def __init__(
@@ -43,58 +44,62 @@
         swap: Callable[[Telemetry], Telemetry],
     ) -> None:
         self._gauges = gauges
-        self._swap = swap
-        self._making = asyncio.Lock()
-        self._made: Any = None
+        self._replace_telemetry = swap
+        self._creation_lock = asyncio.Lock()
+        self._instruments: Any = None
 
     async def render(self) -> bytes:
-        """Returns all figures as text."""
-        async with self._making:
-            if self._made is None:
-                await self._make()
-        return bytes(self._made.render())
+        """Returns all metrics in the Prometheus text format."""
+        async with self._creation_lock:
+            if self._instruments is None:
+                await self._create()
+        return bytes(self._instruments.render())
 
-    async def _make(self) -> None:
+    async def _create(self) -> None:
         for name in _MODULES:
             module = importlib.import_module(name)
             await asyncio.sleep(_PAUSE_SECONDS)
         metrics = module.ServingMetrics()
         for name, read in self._gauges.items():
             metrics.watch(name, read)
-        before = self._swap(metrics)
-        if isinstance(before, KeptTelemetry):
-            before.hand_over(metrics)
-        self._made = metrics
+        previous = self._replace_telemetry(metrics)
+        if isinstance(previous, KeptTelemetry):
+            previous.hand_over(metrics)
+        self._instruments = metrics
         log_message("metrics:made")
 
 
 async def serve_metrics(
     address: str, path: str, instruments: Instruments
 ) -> None:
-    """Serves the figures until cancelled.
+    """Serves the metrics over HTTP until cancelled.
+
+    If the address cannot be bound, the error is logged and nothing is served.
 
     Args:
-        address: `host:port` to serve at.
-        path: of the figures.
-        instruments: what they are read from.
+        address: `host:port` to listen on.
+        path: URL path of the metrics.
+        instruments: source of the metrics.
     """
 
-    async def answer(request: HttpRequest, responder: Responder) -> None:
-        found = request.path == path
-        body = await instruments.render() if found else b""
+    async def handle_request(
+        request: HttpRequest, responder: Responder
+    ) -> None:
+        is_metrics_path = request.path == path
+        body = await instruments.render() if is_metrics_path else b""
         headers = (
-            (b"content-type", _TEXT),
+            (b"content-type", _CONTENT_TYPE),
             (b"content-length", b"%d" % len(body)),
         )
-        responder.send_head(200 if found else 404, headers)
+        responder.send_head(200 if is_metrics_path else 404, headers)
         responder.send_data(body)
         responder.finish()
 
-    listener = HttpListener(address, answer)
+    listener = HttpListener(address, handle_request)
     try:
         await listener.start()
     except OSError as error:
-        # A process without figures still serves its clients.
+        # A process that cannot serve its metrics still serves its clients.
         log_message("metrics:not_served", peer=address, detail=str(error))
     try:
         await asyncio.Event().wait()
--- a/src/ridgesill/app/traffic.py
+++ b/src/ridgesill/app/traffic.py
@@ -1,4 +1,4 @@
-"""Says at times what a process has sent its peers, by kind of message."""
+"""Logs how much a process has sent to its peers, by message type."""
 
 import asyncio
 
@@ -6,22 +6,22 @@
 
 from ridgesill.adapters.peer_rpc import KindTraffic, Traffic
 
-# How often, in seconds: one short line of each process.
-_TELL_SECONDS = 10.0
+# Each process logs one short line per interval.
+_LOG_INTERVAL_SECONDS = 10.0
 
 
 async def log_traffic(traffic: Traffic) -> None:
-    """Logs what was sent since the last line, until cancelled."""
+    """Logs and resets the counts at each interval, until cancelled."""
     while True:
-        await asyncio.sleep(_TELL_SECONDS)
+        await asyncio.sleep(_LOG_INTERVAL_SECONDS)
         kinds, traffic.kinds = traffic.kinds, {}
         log_message(
             "peer:traffic",
-            seconds=_TELL_SECONDS,
-            kinds={name: _describe(kind) for name, kind in kinds.items()},
+            seconds=_LOG_INTERVAL_SECONDS,
+            kinds={name: _list_counts(kind) for name, kind in kinds.items()},
         )
 
 
-def _describe(kind: KindTraffic) -> list[int]:
-    """Returns messages, bytes, and of these those to other data centres."""
+def _list_counts(kind: KindTraffic) -> list[int]:
+    """Returns messages, bytes, and the bytes to other data centres."""
     return [kind.messages, kind.bytes, kind.far_bytes]
--- a/testing/app/lone_node.py
+++ b/testing/app/lone_node.py
@@ -1,4 +1,4 @@
-"""A control node that leads alone, on the paused clock."""
+"""A single control node that leads and owns the fleet, for tests."""
 
 import asyncio
 import random
@@ -22,18 +22,24 @@
 
 
 class NoPeers:
-    """Nobody else is there."""
+    """Peers of a node that has none; messages to them are lost."""
 
     def send(self, address: str, message: Any) -> None:
-        """Loses a message."""
+        """Discards the message."""
 
     async def call(self, address: str, message: Any, timeout: float) -> Any:
-        """Never called by a node that leads alone."""
-        raise AssertionError(f"{type(message).__name__} to {address}")
+        """Raises, since a single node must not call any peer."""
+        raise AssertionError(
+            f"unexpected call of {address} with {type(message).__name__}"
+        )
 
 
 class LoneNode:
-    """A node that leads alone and owns the fleet."""
+    """A control node without peers: leader, voter and fleet owner.
+
+    Args:
+        storage: the node's disk, from `make_voter_storage`.
+    """
 
     def __init__(self, storage: MemoryStorage) -> None:
         node = Node(NAME, "1", NAME, "a", storage.identity)
@@ -59,7 +65,7 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     async def start(self) -> None:
-        """Runs until the fleet is owned."""
+        """Starts the tasks and waits until the node owns the fleet."""
         self._tasks = [
             asyncio.create_task(self.driver.run()),
             asyncio.create_task(self.owner.run()),
@@ -69,13 +75,18 @@
             await asyncio.sleep(0.05)
 
     def stop(self) -> None:
-        """Ends its tasks."""
+        """Cancels the node's tasks."""
         for task in self._tasks:
             task.cancel()
 
 
 def make_voter_storage(owner: str) -> MemoryStorage:
-    """Returns a disk whose log grants the fleet and its orders to a node."""
+    """Returns the disk of a log's only voter.
+
+    Args:
+        owner: node that the log grants the fleet and the orders of `ENGINE`;
+            nothing is granted if empty.
+    """
     storage = MemoryStorage(
         f"{NAME}.a", make_initial_snapshot((f"{NAME}.a",), b"")
     )
--- a/testing/app/test_account.py
+++ b/testing/app/test_account.py
@@ -1,4 +1,4 @@
-"""Tests of the account of requests that were not in time."""
+"""Tests of counting lost and late requests from logs."""
 
 import json
 from pathlib import Path
@@ -29,12 +29,12 @@
 
 
 def end(**fields: object) -> dict[str, object]:
-    """Returns the line of an end."""
+    """Returns a `request:end` log line with some fields replaced."""
     return {**SERVED, **fields}
 
 
-class TestCustomers:
-    def test_each_is_told_with_its_share_in_time(self) -> None:
+class TestCustomerCounts:
+    def test_each_customer_is_listed_with_its_share_in_time(self) -> None:
         lines = [
             end(customer="alice"),
             end(customer="alice", outcome="refused", reason="beyond_quota"),
@@ -42,19 +42,19 @@
         ]
         account = make_account(lines)
         assert account.customers == {"alice": (2, 1)}
-        assert (account.ends, account.not_owed) == (2, 1)
+        assert (account.ends, account.excluded) == (2, 1)
         assert "50.00%  alice" in format_account(account)
 
 
-class TestCauses:
+class TestFindCause:
     @pytest.mark.parametrize(
         ("fields", "cause"),
         [
             ({"waited": 0.4, "sent": 0.41, "first": 0.7}, "waited for a load"),
             ({"sent": 0.5, "first": 0.7}, "slow to send"),
-            ({"first": 0.9}, "slower than foretold"),
+            ({"first": 0.9}, "slower than predicted"),
             ({"foretold": 0.8, "first": 0.85}, "behind others"),
-            ({"foretold": 0.0, "first": 0.85}, "nothing was foretold"),
+            ({"foretold": 0.0, "first": 0.85}, "there was no prediction"),
             ({"outcome": "refused", "reason": "no_place"}, "refused: no_place"),
             (
                 {
@@ -66,7 +66,7 @@
             ({"outcome": "client_left"}, "client_left"),
         ],
     )
-    def test_each_has_its_first_one(
+    def test_the_first_matching_cause_is_returned(
         self, fields: dict[str, object], cause: str
     ) -> None:
         (read,) = read_request_ends([end(**fields)])
@@ -74,8 +74,8 @@
         assert cause in find_cause(read)
 
 
-class TestAccount:
-    def test_it_adds_up(self) -> None:
+class TestMakeAccount:
+    def test_losses_are_counted_by_cause_route_and_interval(self) -> None:
         lines = [end() for _ in range(7)]
         lines += [end(outcome="refused", reason="no_place") for _ in range(2)]
         lines += [end(first=0.9, timestamp=103.0)]
@@ -83,26 +83,26 @@
         assert (account.ends, account.in_time) == (10, 7)
         assert account.causes.total() == 3
         assert account.routes.total() == 3
-        assert account.moments == {0.0: 2, 2.0: 1}
+        assert account.intervals == {0.0: 2, 2.0: 1}
 
-    def test_what_has_no_route_is_no_loss(self) -> None:
+    def test_requests_without_a_route_are_excluded(self) -> None:
         lines = [end(), end(outcome="refused", reason="no_route", route="")]
         account = make_account(lines)
         assert (account.ends, account.in_time) == (1, 1)
-        assert account.not_owed == 1
+        assert account.excluded == 1
 
-    def test_what_has_no_goal_is_in_time_when_served(self) -> None:
+    def test_a_served_request_without_a_goal_is_in_time(self) -> None:
         assert make_account([end(goal=0.0, first=9.0)]).in_time == 1
 
-    def test_other_lines_are_passed_over(self) -> None:
+    def test_other_lines_are_ignored(self) -> None:
         lines = [end(), {"message_type": "fleet:owned"}]
         assert make_account(lines).ends == 1
 
-    def test_without_ends_it_says_what_to_give(self) -> None:
+    def test_without_ends_the_error_says_which_logs_to_give(self) -> None:
         with pytest.raises(NoRequestEndsError, match="logs of all fronts"):
             make_account([{"message_type": "fleet:owned"}])
 
-    def test_the_text_names_causes_and_moments(self) -> None:
+    def test_the_text_lists_causes_and_intervals(self) -> None:
         lines = [end(), end(outcome="refused", reason="overload")]
         text = format_account(make_account(lines))
         assert "2 requests ended, 1 in time, 1 not (50.0%)" in text
@@ -116,6 +116,6 @@
         log.write_text(f"  12.5 front-1 {json.dumps(end())}\n")
         assert "1 requests ended" in Commands().account(str(log))
 
-    def test_a_file_that_is_not_there(self) -> None:
+    def test_a_missing_file_is_named_in_the_error(self) -> None:
         with pytest.raises(CommandError, match="nothing.log"):
             Commands().account("nothing.log")
--- a/testing/app/test_explain.py
+++ b/testing/app/test_explain.py
@@ -1,4 +1,4 @@
-"""Tests of explaining a request from logs."""
+"""Tests of explaining the outcome of a request from logs."""
 
 from pathlib import Path
 
@@ -9,7 +9,7 @@
 
 
 def write(path: Path, *lines: dict[str, object]) -> str:
-    """Writes a log as the platform shows it, with a prefix on each line."""
+    """Writes a log with a prefix on each line; returns its path."""
     text = "\n".join(
         f"  1.0 vm {msgspec.json.encode(line).decode()}" for line in lines
     )
@@ -18,13 +18,13 @@
 
 
 def line(kind: str, at: float, **fields: object) -> dict[str, object]:
-    """Returns a line of a log."""
+    """Returns a log line as a dictionary."""
     return {"vm": "v", "timestamp": at, "message_type": kind, **fields}
 
 
 @pytest.fixture
 def logs(tmp_path: Path) -> list[str]:
-    """Returns a front's log and the owner's."""
+    """Returns the paths of a front's log and the fleet owner's."""
     front = write(
         tmp_path / "front",
         line("request:want", 10.3, request="q1", artifact="m/a1"),
@@ -50,27 +50,29 @@
 
 
 class TestExplain:
-    def test_lines_of_all_processes_in_order(self, logs: list[str]) -> None:
-        said = explain("q1", read_lines(logs)).splitlines()
-        kinds = [text.split()[2] for text in said[:-1]]
-        assert kinds == ["fleet:order", "request:want", "request:end"]
-        assert "verdict=refused" in said[0]
+    def test_lines_of_all_processes_are_sorted_by_time(
+        self, logs: list[str]
+    ) -> None:
+        explanation = explain("q1", read_lines(logs)).splitlines()
+        message_types = [text.split()[2] for text in explanation[:-1]]
+        assert message_types == ["fleet:order", "request:want", "request:end"]
+        assert "verdict=refused" in explanation[0]
 
-    def test_the_last_line_says_what_became_of_it(
+    def test_the_last_line_summarises_the_outcome(
         self, logs: list[str]
     ) -> None:
-        said = explain("q1", read_lines(logs)).splitlines()[-1]
-        assert "was refused, and has not run" in said
-        assert "no_place" in said
-        assert "waited 0.4 s for m/a1" in said
+        explanation = explain("q1", read_lines(logs)).splitlines()[-1]
+        assert "was refused, and has not run" in explanation
+        assert "no_place" in explanation
+        assert "waited 0.4 s for m/a1" in explanation
 
-    def test_an_unknown_id_says_what_to_do(self, logs: list[str]) -> None:
+    def test_an_unknown_id_raises_an_error_that_says_which_logs_to_give(
+        self, logs: list[str]
+    ) -> None:
         with pytest.raises(NoSuchRequestError, match="every front"):
             explain("q9", read_lines(logs))
 
-    def test_lines_that_were_joined_are_told_apart(
-        self, tmp_path: Path
-    ) -> None:
+    def test_joined_log_lines_are_split(self, tmp_path: Path) -> None:
         parts = [
             line("request:want", 10.3, request="q1"),
             line("request:end", 10.5, request="q1", outcome="served"),
--- a/testing/app/test_logs.py
+++ b/testing/app/test_logs.py
@@ -1,4 +1,4 @@
-"""Tests of what nodes write to their logs, on real processes."""
+"""Tests of the logs that real node processes write."""
 
 import msgspec
 import pytest
@@ -12,7 +12,7 @@
 
 
 class TestLogs:
-    def test_prompts_and_tokens_never_reach_them(
+    def test_prompts_and_tokens_are_never_logged(
         self, serving: Deployment
     ) -> None:
         node = serving.nodes["n1"]
@@ -29,17 +29,19 @@
                 assert _SECRET not in text, path
                 assert serving.token not in text, path
 
-    def test_each_line_is_json_with_step_and_peer(
+    def test_lines_are_json_and_the_end_has_step_and_peer(
         self, serving: Deployment
     ) -> None:
         node = serving.nodes["n1"]
         answer = chat(node, "a1")
-        name = answer.headers["X-Ridgesill-Request"]
+        request_id = answer.headers["X-Ridgesill-Request"]
         lines = [
             msgspec.json.decode(line)
             for line in node.log.read_bytes().splitlines()
         ]
-        mine = [line for line in lines if line.get("request") == name]
-        assert mine[-1]["step"] == "end"
-        assert mine[-1]["outcome"] == "completed"
-        assert mine[-1]["peer"]
+        request_lines = [
+            line for line in lines if line.get("request") == request_id
+        ]
+        assert request_lines[-1]["step"] == "end"
+        assert request_lines[-1]["outcome"] == "completed"
+        assert request_lines[-1]["peer"]
--- a/testing/app/test_settings.py
+++ b/testing/app/test_settings.py
@@ -1,4 +1,4 @@
-"""Tests of settings and configuration files."""
+"""Tests of reading settings and configuration files."""
 
 from pathlib import Path
 
@@ -31,8 +31,8 @@
     Path("token").write_text("secret")
 
 
-def problems_of(text: str) -> list[str]:
-    """Returns what is wrong with a settings file."""
+def read_problems(text: str) -> list[str]:
+    """Returns the problems that reading a settings file reports."""
     Path("vm1.ini").write_text(text)
     with pytest.raises(IniError) as error:
         read_settings("vm1.ini")
@@ -40,7 +40,7 @@
 
 
 class TestReadSettings:
-    def test_defaults_fill_what_is_missing(self) -> None:
+    def test_missing_keys_get_defaults(self) -> None:
         Path("vm1.ini").write_text(_GOOD)
         settings = read_settings("vm1.ini")
         assert settings.seeds["vm2"] == "127.0.0.1:5"
@@ -54,14 +54,14 @@
         text = text.replace("token_file = token", "token_file = gone")
         text += "[limits]\nstreams = many\nstraems = 3\n[extra]\na = 1\n"
         text += "[tls]\ncertificate = token\n"
-        assert problems_of(text) == snapshot
+        assert read_problems(text) == snapshot
 
     def test_a_missing_file_is_named(self) -> None:
         with pytest.raises(IniError, match="nowhere.ini"):
             read_settings("nowhere.ini")
 
-    def test_a_file_that_is_no_ini_is_named(self) -> None:
-        assert "vm1.ini" in problems_of("not an ini file")[0]
+    def test_a_file_that_is_not_ini_is_named(self) -> None:
+        assert "vm1.ini" in read_problems("not an ini file")[0]
 
 
 class TestReadConfiguration:
@@ -79,7 +79,7 @@
             read_configuration("site.ini")
         assert [str(p) for p in error.value.problems] == snapshot
 
-    def test_comments_do_not_make_another_file(self) -> None:
+    def test_comments_and_spaces_do_not_change_the_digest(self) -> None:
         Path("one.ini").write_text("[configuration]\nversion = 1\n")
         Path("two.ini").write_text("# x\n[configuration]\nversion=1\n")
         one, two = map(read_configuration, ("one.ini", "two.ini"))
--- a/testing/app/test_telemetry.py
+++ b/testing/app/test_telemetry.py
@@ -1,4 +1,4 @@
-"""Tests of when a process's instruments are made, and what they know."""
+"""Tests of creating a process's metrics instruments on demand."""
 
 import importlib
 import threading
@@ -13,65 +13,66 @@
 END = RequestEnd("stream", 0, "served", "", 0.5, 0.1, 0.0, 1)
 
 
-class Counting:
-    """A process that counts."""
+class FakeProcess:
+    """A process that keeps observations until instruments replace them."""
 
     def __init__(self) -> None:
         self.telemetry: Telemetry = KeptTelemetry()
 
     def swap(self, instruments: Telemetry) -> Telemetry:
-        """Takes the instruments."""
+        """Installs the instruments and returns the telemetry before them."""
         before, self.telemetry = self.telemetry, instruments
         return before
 
 
 class TestInstruments:
-    async def test_what_was_counted_before_they_were_there_is_told(
+    async def test_observations_before_creation_are_included(
         self,
     ) -> None:
-        counting = Counting()
+        process = FakeProcess()
         instruments = Instruments(
-            {"ridgesill_answer": lambda: 42.0}, counting.swap
+            {"ridgesill_answer": lambda: 42.0}, process.swap
         )
-        counting.telemetry.note_end(END)
-        counting.telemetry.note_load(0.3)
-        counting.telemetry.note_order("load", "taken")
+        process.telemetry.note_end(END)
+        process.telemetry.note_load(0.3)
+        process.telemetry.note_order("load", "taken")
         text = (await instruments.render()).decode()
         assert "ridgesill_answer 42.0" in text
         assert 'outcome="served"' in text
         assert "ridgesill_adapter_load_seconds_count 1.0" in text
         assert 'verdict="taken"' in text
 
-    async def test_each_is_counted_once(self) -> None:
-        counting = Counting()
-        instruments = Instruments({}, counting.swap)
-        counting.telemetry.note_load(0.3)
+    async def test_each_observation_is_counted_once(self) -> None:
+        process = FakeProcess()
+        instruments = Instruments({}, process.swap)
+        process.telemetry.note_load(0.3)
         await instruments.render()
-        counting.telemetry.note_load(0.4)
+        process.telemetry.note_load(0.4)
         text = (await instruments.render()).decode()
         assert "ridgesill_adapter_load_seconds_count 2.0" in text
 
-    async def test_no_other_thread_imports_them(
+    async def test_libraries_are_imported_on_the_main_thread(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        # A front beside 200 processes ended with an illegal instruction in the
-        # C library 3 s after its start, on the thread that imported them.
+        # Importing them on another thread can crash a front with an illegal
+        # instruction in the C library: seen 3 s after its start, beside 200
+        # other processes.
         threads: list[threading.Thread] = []
 
-        def note_thread(name: str) -> Any:
+        def record_thread(name: str) -> Any:
             threads.append(threading.current_thread())
             return importlib.__import__(name, fromlist=["x"])
 
-        monkeypatch.setattr(telemetry.importlib, "import_module", note_thread)
-        counting = Counting()
-        instruments = Instruments({}, counting.swap)
+        monkeypatch.setattr(telemetry.importlib, "import_module", record_thread)
+        process = FakeProcess()
+        instruments = Instruments({}, process.swap)
         assert threads == []
         await instruments.render()
         assert set(threads) == {threading.main_thread()}
 
-    def test_only_the_latest_are_kept(self) -> None:
-        kept, taken = KeptTelemetry(), KeptTelemetry()
+    def test_only_the_latest_1000_observations_are_kept(self) -> None:
+        kept, receiver = KeptTelemetry(), KeptTelemetry()
         for _ in range(5000):
             kept.note_load(0.1)
-        kept.hand_over(taken)
-        assert len(taken._kept) == 1000
+        kept.hand_over(receiver)
+        assert len(receiver._kept) == 1000
