--- a/src/ridgesill/app/account.py
+++ b/src/ridgesill/app/account.py
@@ -17,7 +17,7 @@
 # Refusals for these reasons don't count as losses: the configuration has no
 # route for the request, or the caller no valid key.
 _EXCLUDED_REASONS = frozenset(("no_route", "unknown_key"))
-# Rows that a table of causes, routes or customers shows.
+# Most rows in a table of causes, routes or customers.
 _MAX_ROWS = 24
 
 
@@ -121,7 +121,7 @@
 
 
 def _find_delay(end: LoggedEnd) -> str:
-    """Returns the first phase that took too much of a late request's time."""
+    """Returns the first phase that explains why a request was late."""
     threshold = _MAIN_CAUSE_SHARE * end.goal
     at_engine = end.first - end.sent
     if end.waited >= threshold:
@@ -173,6 +173,7 @@
 
 
 def _count_customers(ends: list[LoggedEnd]) -> dict[str, tuple[int, int]]:
+    """Returns the numbers of requests and of those in time, by customer."""
     counts: dict[str, tuple[int, int]] = {}
     for end in ends:
         if end.customer:
@@ -221,6 +222,7 @@
 def _format_counts(
     title: str, counts: collections.Counter[Any], ends: int
 ) -> list[str]:
+    """Returns a titled table of the largest counts and their shares."""
     shown = counts.most_common(_MAX_ROWS)
     lines = [title]
     lines += [
--- a/src/ridgesill/app/change_signal.py
+++ b/src/ridgesill/app/change_signal.py
@@ -4,7 +4,7 @@
 
 
 class ChangeSignal:
-    """Wakes all current waiters; later ones wait for the next change."""
+    """Wakes the tasks that wait at the time of a change, and no later ones."""
 
     def __init__(self) -> None:
         self._changed = asyncio.Event()
@@ -15,10 +15,10 @@
         self._changed = asyncio.Event()
 
     async def wait(self, seconds: float) -> bool:
-        """Waits for the next change; returns False if it takes too long.
+        """Waits for the next change; returns False on a timeout.
 
         Args:
-            seconds: how long to wait at most.
+            seconds: time limit of the wait.
         """
         try:
             await asyncio.wait_for(self._changed.wait(), seconds)
--- a/src/ridgesill/app/cli.py
+++ b/src/ridgesill/app/cli.py
@@ -358,15 +358,15 @@
         ) from error
     if response.status == 401:
         raise CommandError(
-            f"{admin} does not accept the token in {token_file}; give the "
-            "file that the node's [admin] token_file names"
+            f"{admin} does not accept the token; give the file that the node's "
+            f"[admin] token_file names instead of {token_file}"
         )
     try:
         return msgspec.json.decode(response.data)
     except msgspec.DecodeError as error:
         raise CommandError(
-            f"{method} {path} with {admin}: status {response.status} without "
-            "a JSON body; is this a node's [listen] admin address?"
+            f"{admin} sent no JSON; check that this is a node's [listen] admin "
+            f"address; its HTTP status was {response.status}"
         ) from error
 
 
--- a/src/ridgesill/app/explain.py
+++ b/src/ridgesill/app/explain.py
@@ -11,7 +11,7 @@
 _OUTCOME_TEXTS = {
     "served": "was served",
     "refused": "was refused, and has not run",
-    "failed": "got the upstream's own failure",
+    "failed": "received an error response from the upstream",
     "unknown": "may have run; its answer was lost",
     "cut": "was cut off in the middle of its answer",
     "client_left": "was given up by its client",
@@ -83,14 +83,14 @@
     upstreams = {line["upstream"] for line in own_lines if line.get("upstream")}
     ended = own_lines[-1]
     started_at = _read_time(ended) - float(ended.get("seconds", 0.0))
-    first, last = (
+    earliest, latest = (
         started_at - _CONTEXT_SECONDS,
         _read_time(ended) + _CONTEXT_SECONDS,
     )
     return [
         line
         for line in lines
-        if first <= _read_time(line) <= last
+        if earliest <= _read_time(line) <= latest
         and "request" not in line
         and _is_relevant(line, artifacts, upstreams)
     ]
@@ -99,12 +99,13 @@
 def _is_relevant(
     line: dict[str, Any], artifacts: set[str], upstreams: set[str]
 ) -> bool:
-    kind = line["message_type"]
-    if kind in ("fleet:order", "fleet:loaded"):
+    """Returns whether a line explains what happened to a request."""
+    message_type = line["message_type"]
+    if message_type in ("fleet:order", "fleet:loaded"):
         return line.get("artifact") in artifacts
-    if kind.startswith("fleet:upstream"):
+    if message_type.startswith("fleet:upstream"):
         return line.get("upstream") in upstreams
-    return kind in (
+    return message_type in (
         "fleet:owner_lost",
         "fleet:owner_regained",
         "fleet:owned",
@@ -118,17 +119,21 @@
 
 
 def _format_line(line: dict[str, Any]) -> str:
+    """Returns a log line as text: time, VM, message type and fields."""
     fields = " ".join(
         f"{key}={value}"
         for key, value in line.items()
         if key not in ("timestamp", "vm", "message_type", "request")
         and value not in ("", None)
     )
-    kind = line["message_type"]
-    return f"{_read_time(line):.4f} {line.get('vm', '')} {kind} {fields}"
+    message_type = line["message_type"]
+    return (
+        f"{_read_time(line):.4f} {line.get('vm', '')} {message_type} {fields}"
+    )
 
 
 def _summarise(request: str, own_lines: list[dict[str, Any]]) -> str:
+    """Returns a sentence on the outcome of a request."""
     ends = [line for line in own_lines if line["message_type"] == "request:end"]
     if not ends:
         return f"{request}: no end is logged; its front may have stopped"
--- a/src/ridgesill/app/log_founding.py
+++ b/src/ridgesill/app/log_founding.py
@@ -18,7 +18,7 @@
     """Initialises this node's data folder; returns its voting identity.
 
     Call it once for each seed before any node runs. Don't call it again for a
-    folder that was lost later: the node then joins without it.
+    folder that was lost later: the node then joins the existing log by itself.
     """
     identity = founding_identity(settings.name)
     voters = tuple(founding_identity(name) for name in sorted(settings.seeds))
--- a/testing/app/lone_node.py
+++ b/testing/app/lone_node.py
@@ -30,7 +30,7 @@
     async def call(self, address: str, message: Any, timeout: float) -> Any:
         """Raises, since a single node must not call any peer."""
         raise AssertionError(
-            f"unexpected call of {address} with {type(message).__name__}"
+            f"{type(message).__name__} sent to the unexpected peer {address}"
         )
 
 
