--- a/src/ridgesill/app/cli.py
+++ b/src/ridgesill/app/cli.py
@@ -36,13 +36,16 @@
         from ridgesill.app.log_founding import found_log
         from ridgesill.app.settings import read_settings
 
-        read = read_settings(settings)
-        if not read.data_folder or read.name not in read.seeds:
+        node_settings = read_settings(settings)
+        if (
+            not node_settings.data_folder
+            or node_settings.name not in node_settings.seeds
+        ):
             raise CommandError(
                 f"{settings}: only a node that has a data folder and is listed "
                 "in [voters] seeds can found the log"
             )
-        return f"founded {found_log(read)}"
+        return f"founded {found_log(node_settings)}"
 
     def node(self, settings: str) -> None:
         """Runs a node until SIGTERM; work in progress is then finished.
@@ -55,12 +58,12 @@
         from ridgesill.app.node import NodeProcess
         from ridgesill.app.settings import read_settings
 
-        read = read_settings(settings)
-        open_log(read.log_file)
-        token = Path(read.token_file).read_text().strip()
+        node_settings = read_settings(settings)
+        open_log(node_settings.log_file)
+        token = Path(node_settings.token_file).read_text().strip()
 
         async def run() -> None:
-            await NodeProcess(read, token).run()
+            await NodeProcess(node_settings, token).run()
 
         with asyncio.Runner(loop_factory=BootClockLoop) as runner:
             runner.run(run())
@@ -115,7 +118,7 @@
             raise CommandError(str(error)) from error
 
     def quarantine(self, control: str) -> str:
-        """Lists the requests in quarantine and the upstreams that they ended.
+        """Lists quarantined requests and the upstreams that ended under them.
 
         Requests in quarantine are sent to no upstream. The fronts log each such
         refusal as `request:quarantined`.
@@ -156,7 +159,7 @@
         return _format_json(_call_control("GET", control, QUOTAS_PATH))
 
     def limits(self, control: str) -> str:
-        """Lists upstreams that stated a rate limit, and the rates they get.
+        """Lists the rate limits that upstreams named, and the rates they get.
 
         Args:
             control: IP:PORT of the control address of the fleet's owner; any
--- a/src/ridgesill/app/node.py
+++ b/src/ridgesill/app/node.py
@@ -35,6 +35,7 @@
 from ridgesill.core.pool.messages import Digest
 from ridgesill.core.runners import Announcement
 
+# Threads of each HTTP server.
 _ADMIN_THREADS = 4
 _RUNNER_THREADS = 8
 # Threads beyond `streams`, so that excess requests are refused promptly.
@@ -45,6 +46,7 @@
 # Time for the balancer to see that the node is no longer ready.
 _READINESS_NOTICE_SECONDS = 2.0
 _RELEASE_TIMEOUT_SECONDS = 2.0
+# Time after which tasks that have not ended are cancelled again.
 _CANCEL_RETRY_SECONDS = 1.0
 
 
@@ -319,6 +321,7 @@
             await asyncio.sleep(_DRAIN_POLL_SECONDS)
 
     def _is_busy(self) -> bool:
+        """Returns whether requests are in progress or grants are held."""
         return bool(self._caller_app.in_progress or self.entry.held)
 
     async def _release_pools(self) -> None:
@@ -378,6 +381,7 @@
     if not settings.data_folder:
         return None
     storage = FileLog(Path(settings.data_folder))
+    # A node whose folder holds no identity joins as a new voter.
     if not storage.identity:
         storage.join(settings.name)
     return storage
--- a/src/ridgesill/app/pools.py
+++ b/src/ridgesill/app/pools.py
@@ -95,7 +95,7 @@
         self._hosted: dict[str, _Hosted] = {}
         self._allocators: dict[str, PermitAllocator] = {}
         self._announced_at: dict[str, float] = {}
-        self._announced: dict[str, Announcement] = {}
+        self._announcements: dict[str, Announcement] = {}
         self._loop = asyncio.get_running_loop()
         self.observe_load: Callable[[str, float], None] = lambda _s, _t: None
 
@@ -120,20 +120,20 @@
     def sync(self) -> None:
         """Starts and stops pools and allocators to match the current state."""
         owners = self._view.state().owners
-        mine = {p: o for p, o in owners.items() if self._is_mine(o)}
+        owned = {p: o for p, o in owners.items() if self._is_owned_here(o)}
         for pool in list(self._hosted):
-            owner = mine.get(pool)
+            owner = owned.get(pool)
             if owner is None or owner.epoch != self._hosted[pool].owner.epoch:
                 self._stop_pool(pool)
         for pool in list(self._allocators):
-            if pool not in mine:
+            if pool not in owned:
                 del self._allocators[pool]
-        for pool, owner in mine.items():
+        for pool, owner in owned.items():
             self._start(pool, owner)
         for hosted in self._hosted.values():
             self._remove_lost_nodes(hosted.owner)
 
-    def _is_mine(self, owner: Owner) -> bool:
+    def _is_owned_here(self, owner: Owner) -> bool:
         return f"{owner.node}#{owner.incarnation}" == self._node
 
     def _start(self, pool: str, owner: Owner) -> None:
@@ -147,14 +147,14 @@
             self._start_pool(pool, owner, service)
 
     def _update_allocator(self, pool: str, service: Service) -> None:
-        known = self._allocators.get(pool)
-        if known is None:
+        allocator = self._allocators.get(pool)
+        if allocator is None:
             self._allocators[pool] = PermitAllocator(
                 service.load_rate, service.load_concurrency, self._loop.time()
             )
         else:
-            known.rate = service.load_rate
-            known.concurrency = service.load_concurrency
+            allocator.rate = service.load_rate
+            allocator.concurrency = service.load_concurrency
 
     def _start_pool(self, pool: str, owner: Owner, service: Service) -> None:
         now = self._loop.time()
@@ -171,7 +171,7 @@
             )
         )
         log_message("pool:owned", pool=pool, epoch=owner.epoch, wait=wait)
-        for announcement in list(self._announced.values()):
+        for announcement in list(self._announcements.values()):
             if _pool_of(announcement) == pool:
                 self._deliver(self._hosted[pool], announcement)
 
@@ -250,9 +250,9 @@
 
     @handle.register
     async def _(self, message: Announcement) -> None:
-        """Takes a runner's announcement, or passes it to the pool's owner."""
+        """Stores a runner's announcement; passes it to its pool if owned."""
         pool = _pool_of(message)
-        self._announced[message.name] = message
+        self._announcements[message.name] = message
         hosted = self._hosted.get(pool)
         if hosted is not None:
             self._deliver(hosted, message)
--- a/testing/app/lone_node.py
+++ b/testing/app/lone_node.py
@@ -18,7 +18,7 @@
 
 NAME = "10.0.0.1:70"
 ENGINE = "10.0.2.1:80"
-LEASE = 3.0
+LEASE_SECONDS = 3.0
 
 
 class NoPeers:
@@ -59,7 +59,7 @@
             follower,
             UpstreamChannels(0.5),
             PlatformEngines(),
-            LEASE,
+            LEASE_SECONDS,
             1.2,
         )
         self._tasks: list[asyncio.Task[None]] = []
--- a/testing/app/test_fleet_owner.py
+++ b/testing/app/test_fleet_owner.py
@@ -23,7 +23,7 @@
 )
 from testing.app.lone_node import (
     ENGINE,
-    LEASE,
+    LEASE_SECONDS,
     NAME,
     LoneNode,
     make_voter_storage,
@@ -77,7 +77,7 @@
         # started. An owner has orders delivered for 0.6 s after it last heard
         # a quorum, the holder delivers for 0.5 s after its last stamp, and
         # 0.15 s are for an order on its way.
-        expected = began + 0.6 + 0.5 + LEASE + 0.15
+        expected = began + 0.6 + 0.5 + LEASE_SECONDS + 0.15
         engine = owning.owner._placement.engines["e1"]
         while owning.owner._authority(engine) is None:
             await asyncio.sleep(0.05)
--- a/testing/app/test_telemetry.py
+++ b/testing/app/test_telemetry.py
@@ -21,8 +21,8 @@
 
     def swap(self, instruments: Telemetry) -> Telemetry:
         """Installs the instruments and returns the telemetry before them."""
-        before, self.telemetry = self.telemetry, instruments
-        return before
+        previous, self.telemetry = self.telemetry, instruments
+        return previous
 
 
 class TestInstruments:
