--- a/src/ridgesill/app/control.py
+++ b/src/ridgesill/app/control.py
@@ -183,7 +183,7 @@
         deadline = self._loop.time() + timeout
         while self.state.version < version:
             remaining = deadline - self._loop.time()
-            if remaining <= 0 or not await self._applied.within(remaining):
+            if remaining <= 0 or not await self._applied.wait(remaining):
                 return
 
     def add_listener(self, listener: Callable[[], None]) -> None:
@@ -192,7 +192,7 @@
 
     def notify_applied(self) -> None:
         """Wakes waiting tasks and calls listeners after a state change."""
-        self._applied.note()
+        self._applied.notify()
         for listener in self._listeners:
             listener()
 
@@ -343,7 +343,7 @@
         deadline = self._loop.time() + _APPLY_WAIT_SECONDS
         while self.state.index < index:
             remaining = deadline - self._loop.time()
-            if remaining <= 0 or not await self._applied.within(remaining):
+            if remaining <= 0 or not await self._applied.wait(remaining):
                 return
 
     # -- serving followers ---------------------------------------------
@@ -357,7 +357,7 @@
         deadline = now + request.wait
         while self.state.index <= request.beat.applied:
             remaining = deadline - self._loop.time()
-            if remaining <= 0 or not await self._applied.within(remaining):
+            if remaining <= 0 or not await self._applied.wait(remaining):
                 break
         # A follower without any state yet is answered at once, because its
         # clients are waiting.
@@ -443,7 +443,7 @@
         index = await self._ask_latest(deadline)
         while index >= 0 and self.state.index < index:
             remaining = deadline - self._loop.time()
-            if remaining <= 0 or not await self._applied.within(remaining):
+            if remaining <= 0 or not await self._applied.wait(remaining):
                 index = -1
         if index < 0:
             raise UnavailableError(
--- a/src/ridgesill/app/fleet_owner.py
+++ b/src/ridgesill/app/fleet_owner.py
@@ -179,7 +179,7 @@
             self._orders,
             calls,
             self._leases.delivered_until,
-            self._news.note,
+            self._news.notify,
             self._loop.time,
             time_of_day,
         )
@@ -304,7 +304,7 @@
         self._limits.restore(view, now)
         for sent in self._follower.pending_reports.take_unassigned():
             self._record_sent(sent, now)
-        self._news.note()
+        self._news.notify()
 
     def _give_up(self) -> None:
         if self._registry is None:
@@ -314,7 +314,7 @@
         self._engines.end()
         self._term = 0
         self._loads.end()
-        self._news.note()
+        self._news.notify()
 
     def _tick(self) -> None:
         registry = self._registry
@@ -490,7 +490,7 @@
         self._usage.record_report(sender, extract_usage(watch), now)
         self._loads.handle_report()
         if self._limits.apply_limits(watch.limits, now):
-            self._news.note()
+            self._news.notify()
         if watch.used:
             self._placement.record_requests(watch.used, now)
         return self._received_reports.handle_reports(
@@ -505,7 +505,7 @@
         now = self._loop.time()
         self._record_sent(extract_sent(report, now), now)
         if self._quotas.has_limiting_rate(now):
-            self._news.note()
+            self._news.notify()
 
     def _record_sent(self, sent: Sent, now: float) -> None:
         span = max(now - sent.since, 0.0)
--- a/src/ridgesill/app/forwarding.py
+++ b/src/ridgesill/app/forwarding.py
@@ -227,9 +227,8 @@
         caller = self._check_caller(route)
         while caller == Err(UNKNOWN_KEY) and self._facts.key_digest:
             seconds_left = deadline - self._loop.time()
-            if (
-                seconds_left <= 0
-                or not await self._front.discovery_signal.within(seconds_left)
+            if seconds_left <= 0 or not await self._front.discovery_signal.wait(
+                seconds_left
             ):
                 break
             if self._front.table.version != version:
--- a/src/ridgesill/app/front_process.py
+++ b/src/ridgesill/app/front_process.py
@@ -14,13 +14,13 @@
 from ridgesill.app.forwarding import serve_request
 from ridgesill.app.front import Front
 from ridgesill.app.platform_node import (
-    CONNECT_SECONDS,
+    CONNECT_TIMEOUT_SECONDS,
+    decode_newer_routes,
     make_control,
     make_node,
-    read_newer_table,
 )
 from ridgesill.app.telemetry import Instruments, serve_metrics
-from ridgesill.app.traffic import tell_traffic
+from ridgesill.app.traffic import log_traffic
 from ridgesill.core.commands import Node
 from ridgesill.core.fleet.relays import find_relays
 from ridgesill.core.fleet.usage import UsageReport
@@ -88,7 +88,7 @@
         self.front = Front(
             Chooser(settings.data_centre, self.fleet.view, Outcomes()),
             self.fleet,
-            UpstreamChannels(CONNECT_SECONDS),
+            UpstreamChannels(CONNECT_TIMEOUT_SECONDS),
             PlatformDialect(),
             RetryBounds(
                 bounds.retry_share, bounds.retry_slack, bounds.retry_window
@@ -97,7 +97,7 @@
             bounds.revocation * _REVOCATION_SHARE,
             settings.vm,
         )
-        self.fleet.add_listener(self.front.discovery_signal.note)
+        self.fleet.add_listener(self.front.discovery_signal.notify)
         self.fleet.add_listener(self._apply_fleet_news)
         self._client_listener = HttpListener(
             settings.callers, functools.partial(serve_request, self.front)
@@ -146,11 +146,11 @@
         self._relays = find_relays(self._node, state.nodes.values())
         self.front.versions = state.artifact_versions
         self.front.quarantine.apply_state(state)
-        table = read_newer_table(state, self.front.table)
+        table = decode_newer_routes(state, self.front.table)
         if table is None:
             return
         self.front.table = table
-        self.front.discovery_signal.note()
+        self.front.discovery_signal.notify()
         if table.limits is not None:
             self._client_listener.limits = table.limits
         log_message(
@@ -207,7 +207,7 @@
                 METRICS_PATH,
                 Instruments(self._gauges(), self._swap_telemetry),
             ),
-            tell_traffic(self._peers.traffic),
+            log_traffic(self._peers.traffic),
         )
         tasks = [self._loop.create_task(coroutine) for coroutine in coroutines]
         log_message(
--- a/src/ridgesill/app/news_relay.py
+++ b/src/ridgesill/app/news_relay.py
@@ -39,7 +39,7 @@
     began = loop.time()
     while not has_news():
         left = began + wait - loop.time()
-        if left <= 0 or not await changed.within(left):
+        if left <= 0 or not await changed.wait(left):
             break
     spacing = _NEWS_INTERVAL_SECONDS + _NEWS_INTERVAL_SECONDS_PER_ASKER * askers
     await asyncio.sleep(max(began + spacing - loop.time(), 0.0))
@@ -87,7 +87,7 @@
     def _apply_news(self, news: FleetNews) -> None:
         self._news.apply_news(news)
         self._limits.discard_except(self._view.upstreams, self._loop.time())
-        self._changed.note()
+        self._changed.notify()
 
     def make_usage_report(self) -> UsageReport:
         """Returns the usage of the fronts that ask here, for the owner."""
--- a/src/ridgesill/app/upstream_search.py
+++ b/src/ridgesill/app/upstream_search.py
@@ -249,7 +249,7 @@
             seconds = min(seconds, self._facts.patience * _DISCOVERY_SHARE)
         while not is_known():
             left = started_at + seconds - self._loop.time()
-            if left <= 0 or not await self._front.discovery_signal.within(left):
+            if left <= 0 or not await self._front.discovery_signal.wait(left):
                 break
         log_message(
             "request:learned",
--- a/testing/app/control_world.py
+++ b/testing/app/control_world.py
@@ -140,7 +140,7 @@
         created_pools: list[Pools] = []
 
         def heard_pools() -> tuple[str, ...]:
-            return created_pools[0].heard_pools()
+            return created_pools[0].announced_pools()
 
         control = Control(node, settings, peers, heard_pools)
         if storage is not None:
@@ -207,7 +207,7 @@
         announcement = Announcement(
             "r1", "x", "assist", "east", "r1", 4, 8, sequence=sequence
         )
-        await self.members[name].pools.announce(announcement)
+        await self.members[name].pools.handle_announcement(announcement)
 
     def leader(self) -> str:
         """Returns the name of the leader."""
--- a/testing/app/news_world.py
+++ b/testing/app/news_world.py
@@ -16,7 +16,7 @@
 from ridgesill.core.fleet.messages import Heartbeat, WatchFleet
 from ridgesill.core.fleet.usage import UsageReport
 from ridgesill.ports.peers import PeerError
-from testing.app.lone_node import NAME, LoneNode, storage_of
+from testing.app.lone_node import NAME, LoneNode, make_voter_storage
 
 DATA_CENTRES = ("a", "b", "c", "d", "e")
 # One-way network latency between any two VMs, in seconds.
@@ -61,7 +61,7 @@
     """
 
     def __init__(self, fronts: int, *, relayed: bool) -> None:
-        self.owner_node = LoneNode(storage_of(""))
+        self.owner_node = LoneNode(make_voter_storage(""))
         self.questions: collections.Counter[str] = collections.Counter()
         self.bytes_between = 0
         self.report_count = 0
@@ -147,7 +147,7 @@
         registry = self.owner_node.owner._registry
         assert registry is not None
         registry.set_resident(engine, {"m": 1, artifact: 1})
-        self.owner_node.owner._news.note()
+        self.owner_node.owner._news.notify()
 
     async def change_adapters(self, seconds: float, per_second: int) -> None:
         """Changes the adapters of engines for some time.
@@ -166,7 +166,7 @@
             name = engines[number % len(engines)]
             adapters = {f"base-model/adapter-{number + n}": 1 for n in range(6)}
             registry.set_resident(name, {"m": 1, **adapters})
-            owner._news.note()
+            owner._news.notify()
             await asyncio.sleep(1 / per_second)
 
     def stop(self) -> None:
--- a/testing/app/test_fleet_owner.py
+++ b/testing/app/test_fleet_owner.py
@@ -23,10 +23,10 @@
 )
 from testing.app.lone_node import (
     ENGINE,
-    LEASE,
+    LEASE_SECONDS,
     NAME,
     LoneNode,
-    storage_of,
+    make_voter_storage,
 )
 
 pytestmark = pytest.mark.looptime
@@ -54,7 +54,7 @@
 class TestOwnership:
     @pytest.mark.parametrize("before", ["", NAME])
     async def test_does_not_wait_for_its_own_lease(self, before: str) -> None:
-        node = LoneNode(storage_of(before))
+        node = LoneNode(make_voter_storage(before))
         loop = asyncio.get_running_loop()
         started_at = loop.time()
         node.owner.apply_table(engine_table())
@@ -68,7 +68,7 @@
         node.stop()
 
     async def test_waits_for_the_lease_of_another_vm(self) -> None:
-        node = LoneNode(storage_of("10.0.0.2:70"))
+        node = LoneNode(make_voter_storage("10.0.0.2:70"))
         loop = asyncio.get_running_loop()
         started_at = loop.time()
         node.owner.apply_table(engine_table())
@@ -78,7 +78,7 @@
         # before it started. The previous owner has orders delivered for 0.6 s
         # after it last had a quorum, the holder delivers for 0.5 s after its
         # last stamp, and an order may take 0.15 s to arrive.
-        expected = started_at + 0.6 + 0.5 + LEASE + 0.15
+        expected = started_at + 0.6 + 0.5 + LEASE_SECONDS + 0.15
         engine = node.owner._placement.engines["e1"]
         while node.owner._find_authority(engine) is None:
             await asyncio.sleep(0.05)
@@ -86,7 +86,7 @@
         node.stop()
 
     async def test_the_log_names_the_last_owner(self) -> None:
-        node = LoneNode(storage_of("10.0.0.2:70"))
+        node = LoneNode(make_voter_storage("10.0.0.2:70"))
         assert find_last_owner(node.driver) == "10.0.0.2:70"
         node.stop()
 
@@ -99,7 +99,7 @@
         # any. With four owners in five seconds, each without its predecessor's
         # news, a customer far above its limit got 71 requests through in eight
         # seconds where 69 are tolerated.
-        node = LoneNode(storage_of(""))
+        node = LoneNode(make_voter_storage(""))
         await node.start()
         watch = WatchFleet(0, 0, 0.0)
         first = await node.owner.handle_watch("f1", watch)
@@ -112,7 +112,7 @@
 
 class TestTakeOver:
     async def test_a_leaving_engine_stays_leaving(self) -> None:
-        node = LoneNode(storage_of(""))
+        node = LoneNode(make_voter_storage(""))
         leaving = Upstream("e1", "s", ENGINE, "a", 4, "draining", {"m": 1})
         node.owner._follower.view.upstreams["e1"] = leaving
         node.owner.apply_table(engine_table())
@@ -123,7 +123,7 @@
     async def test_nothing_counts_as_unused_before_all_fronts_report(
         self,
     ) -> None:
-        node = LoneNode(storage_of(""))
+        node = LoneNode(make_voter_storage(""))
         owner = node.owner
         owner._follower.view.fronts = 2
         await node.start()
@@ -135,7 +135,7 @@
         node.stop()
 
     async def test_does_not_wait_long_for_fronts_that_are_gone(self) -> None:
-        node = LoneNode(storage_of(""))
+        node = LoneNode(make_voter_storage(""))
         node.owner._follower.view.fronts = 2
         await node.start()
         started_at = asyncio.get_running_loop().time()
@@ -157,7 +157,7 @@
         Returns:
             Seconds after the last order that the previous owner may have sent.
         """
-        node = LoneNode(storage_of(previous_owner))
+        node = LoneNode(make_voter_storage(previous_owner))
         loop = asyncio.get_running_loop()
         node.owner._engines._time_of_day = lambda: 1_000.0 + loop.time()
         node.owner.apply_table(engine_table())
@@ -188,7 +188,7 @@
 
 class TestNews:
     async def test_a_leaving_upstream_is_news_for_watchers(self) -> None:
-        node = LoneNode(storage_of(""))
+        node = LoneNode(make_voter_storage(""))
         await node.start()
         owner = node.owner
         await owner.submit_heartbeat(heartbeat(1))
@@ -203,7 +203,7 @@
         node.stop()
 
     async def test_a_node_that_is_not_the_owner_refuses(self) -> None:
-        node = LoneNode(storage_of(""))
+        node = LoneNode(make_voter_storage(""))
         news = await node.owner.handle_watch("f1", WatchFleet(3, 1, 0.1))
         assert news.epoch == 0
         answer = await node.owner.handle_want(WantArtifact("s", "m/a1", 0))
@@ -214,7 +214,7 @@
     async def test_ready_heartbeats_do_not_undo_an_announced_leave(
         self,
     ) -> None:
-        node = LoneNode(storage_of(""))
+        node = LoneNode(make_voter_storage(""))
         owner = node.owner
         owner.apply_table(engine_table())
         await node.start()
@@ -246,7 +246,7 @@
         await asyncio.sleep(0.25)
 
     async def test_upstreams_are_kept_after_a_suspension(self) -> None:
-        node = LoneNode(storage_of(""))
+        node = LoneNode(make_voter_storage(""))
         node.owner.apply_table(engine_table())
         await node.start()
         node.owner.handle_heartbeat(engine_heartbeat())
@@ -260,7 +260,7 @@
         node.stop()
 
     async def test_nodes_are_kept_after_a_suspension(self) -> None:
-        node = LoneNode(storage_of(""))
+        node = LoneNode(make_voter_storage(""))
         control = node.control
         lead_task = asyncio.create_task(control.lead())
         await node.start()
--- a/testing/app/test_following.py
+++ b/testing/app/test_following.py
@@ -17,7 +17,7 @@
 )
 from ridgesill.core.log.messages import Entry
 from ridgesill.ports.peers import PeerError
-from testing.app.lone_node import LoneNode, storage_of
+from testing.app.lone_node import LoneNode, make_voter_storage
 
 pytestmark = pytest.mark.looptime
 
@@ -163,7 +163,7 @@
         # Load pattern: 200 nodes join within two seconds, and each learns of
         # every other one. Answered one entry at a time, that takes 40,000
         # replies.
-        node = LoneNode(storage_of(""))
+        node = LoneNode(make_voter_storage(""))
         await node.start()
         answers = 0
         applied = node.control.state.index
@@ -190,7 +190,7 @@
         node.stop()
 
     async def test_a_newly_started_follower_is_answered_at_once(self) -> None:
-        node = LoneNode(storage_of(""))
+        node = LoneNode(make_voter_storage(""))
         await node.start()
         loop = asyncio.get_running_loop()
         began = loop.time()
--- a/testing/app/test_forwarding.py
+++ b/testing/app/test_forwarding.py
@@ -239,7 +239,7 @@
         asking = asyncio.create_task(client.ask("/safe/x"))
         await asyncio.sleep(0.1)
         world.front.table = table
-        world.front.discovery_signal.note()
+        world.front.discovery_signal.notify()
         assert (await asking).status == 200
 
     async def test_a_request_waits_for_an_upstream(
@@ -249,7 +249,7 @@
         asking = asyncio.create_task(client.ask("/safe/x"))
         await asyncio.sleep(0.1)
         await world.add("u1", answer_ok)
-        world.front.discovery_signal.note()
+        world.front.discovery_signal.notify()
         assert (await asking).status == 200
 
     async def test_without_an_upstream_it_is_refused_early_enough_for_a_retry(
@@ -682,7 +682,7 @@
         asked = asyncio.create_task(client.ask("/safe/x", credential="k2"))
         await asyncio.sleep(0.05)
         require_keys(world, k1=LIMITED, k2=Customer("bob"))
-        world.front.discovery_signal.note()
+        world.front.discovery_signal.notify()
         assert (await asked).status == 200
 
     async def test_no_key_is_served_once_it_may_have_been_revoked(
@@ -729,7 +729,7 @@
         await world.add("u1", answer_ok)
         now = asyncio.get_running_loop().time()
         world.front.quotas.apply_news({"alice": RateState(0.0, 9.0)}, 1, now)
-        world.front.discovery_signal.note()
+        world.front.discovery_signal.notify()
         assert (await asked).status == 429
 
     async def test_a_request_beyond_the_quota_is_refused_at_once(
