--- a/bench/recovery.py
+++ b/bench/recovery.py
@@ -111,7 +111,7 @@
         await asyncio.sleep(_FROZEN_SECONDS)
         await world.end_traffic()
         verdict = judge(seed, world, [])
-        version = await world.until(world.read_back)
+        version = await world.poll(world.read_back)
         serve, acknowledge, order = (at - began for at in times)
         return Recovery(
             name,
--- a/src/ridgesill/adapters/admin_http.py
+++ b/src/ridgesill/adapters/admin_http.py
@@ -15,7 +15,7 @@
     send_answer,
 )
 from ridgesill.core.declaration import Declaration, Mistake, find_mistakes
-from ridgesill.ports.administration import Administration, Applied
+from ridgesill.ports.administration import Administration, ApplyResult
 
 _BODY_MOST = 64 * 2**20
 _OPERATION_MOST = 100
@@ -93,7 +93,7 @@
         return Answer(200, self._render_metrics(), "text/plain; version=0.0.4")
 
 
-def _status_of(applied: Applied) -> int:
+def _status_of(applied: ApplyResult) -> int:
     return {"accepted": 200, "conflict": 409}.get(applied.verdict, 503)
 
 
--- a/src/ridgesill/adapters/caller_http.py
+++ b/src/ridgesill/adapters/caller_http.py
@@ -25,7 +25,12 @@
 from ridgesill.core.pool import messages as pool_messages
 from ridgesill.core.state import State
 from ridgesill.ports.runner import RunnerRequest
-from ridgesill.ports.serving import CallerRequest, CutError, Reply, Serving
+from ridgesill.ports.serving import (
+    CallerRequest,
+    IncompleteStreamError,
+    Reply,
+    Serving,
+)
 
 _COMPLETIONS = ("/v1/chat/completions", "/v1/completions")
 _SERVICES = "/services/"
@@ -381,7 +386,7 @@
     """Passes a stream on; one that is cut ends in an error event."""
     try:
         yield from body
-    except CutError as error:
+    except IncompleteStreamError as error:
         detail = {"message": str(error), "type": "server_error", "param": None}
         event = {
             "error": {**detail, "code": "stream-cut"},
--- a/src/ridgesill/adapters/runner_http.py
+++ b/src/ridgesill/adapters/runner_http.py
@@ -11,7 +11,7 @@
 from ridgesill.core.runners import FENCE, LOAD, Order
 from ridgesill.ports import orders
 from ridgesill.ports.runner import (
-    AnswerCutError,
+    IncompleteAnswerError,
     RunnerFailure,
     RunnerRequest,
 )
@@ -58,14 +58,14 @@
         )
 
     def chunks(self) -> Iterator[bytes]:
-        """Yields the body as it arrives; raises `AnswerCutError`."""
+        """Yields the body as it arrives; raises `IncompleteAnswerError`."""
         try:
             yield from self._response.stream(_CHUNK)
         except (urllib3.exceptions.HTTPError, OSError) as error:
-            raise AnswerCutError(str(error)) from error
+            raise IncompleteAnswerError(str(error)) from error
 
     def read(self) -> bytes:
-        """Returns the whole body; raises `AnswerCutError`."""
+        """Returns the whole body; raises `IncompleteAnswerError`."""
         return b"".join(self.chunks())
 
     def release(self) -> None:
--- a/src/ridgesill/adapters/serving_metrics.py
+++ b/src/ridgesill/adapters/serving_metrics.py
@@ -32,7 +32,7 @@
         self._named_words: set[str] = set()
         self.watch("ridgesill_peak_memory_bytes", _peak_memory)
 
-    def note_end(self, end: RequestEnd) -> None:
+    def record_request_end(self, end: RequestEnd) -> None:
         """Counts the end of a request."""
         labels = {"kind": end.kind, "class": str(end.priority)}
         ended = {**labels, "outcome": end.outcome, "reason": end.reason}
@@ -49,19 +49,19 @@
                 },
             )
         if end.outcome == "served":
-            self._first.record(end.first_seconds, labels)
-        if end.waited_seconds:
-            self._waited.record(end.waited_seconds, labels)
+            self._first.record(end.first_byte_seconds, labels)
+        if end.load_wait_seconds:
+            self._waited.record(end.load_wait_seconds, labels)
 
-    def note_order(self, action: str, verdict: str) -> None:
+    def record_order(self, action: str, verdict: str) -> None:
         """Counts an order to an engine."""
         self._orders.add(1, {"action": action, "verdict": verdict})
 
-    def note_load(self, seconds: float) -> None:
+    def record_load_seconds(self, seconds: float) -> None:
         """Notes how long a load took."""
         self._loads.record(seconds)
 
-    def note_unknown_word(self, word: str) -> None:
+    def record_unknown_field(self, word: str) -> None:
         """Counts a word of an upstream that nothing here reads."""
         if len(self._named_words) < _WORDS_MOST:
             self._named_words.add(word)
--- a/src/ridgesill/app/administration.py
+++ b/src/ridgesill/app/administration.py
@@ -10,11 +10,11 @@
 from ridgesill.core.declaration import Declaration
 from ridgesill.core.following import Beat
 from ridgesill.ports.administration import (
-    Applied,
+    ApplyResult,
+    ConfigurationReport,
     NodeReport,
     PoolReport,
     RunnerReport,
-    Shown,
     Status,
 )
 
@@ -39,11 +39,11 @@
         self._pools = pools
         self._drain = drain
 
-    def apply(self, operation: str, declared: Declaration) -> Applied:
+    def apply(self, operation: str, declared: Declaration) -> ApplyResult:
         """Brings a declaration into force, or says why not."""
         return self._bridge.call(self._apply(operation, declared))
 
-    def show(self) -> Shown:
+    def show(self) -> ConfigurationReport:
         """Returns the configuration in force."""
         return self._bridge.call(self._show())
 
@@ -55,7 +55,9 @@
         """Has the node take no new work and stop once it has no other."""
         self._bridge.post(self._drain)
 
-    async def _apply(self, operation: str, declared: Declaration) -> Applied:
+    async def _apply(
+        self, operation: str, declared: Declaration
+    ) -> ApplyResult:
         await self._catch_up(declared.based_on)
         for _ in range(_TRIES):
             command = self._command(operation, declared)
@@ -64,7 +66,9 @@
             except UnavailableError as error:
                 detail = f"{error}; send the same file again to learn its fate"
                 state = self._control.state
-                return Applied("unknown", state.version, state.digest, detail)
+                return ApplyResult(
+                    "unknown", state.version, state.digest, detail
+                )
             if not self._is_overtaken(command, declared, answer):
                 return _applied(declared, answer)
             await self._catch_up(answer.version)
@@ -101,10 +105,10 @@
     async def _catch_up(self, version: int) -> None:
         await self._control.wait_for_version(version, _CATCH_UP_SECONDS)
 
-    async def _show(self) -> Shown:
+    async def _show(self) -> ConfigurationReport:
         state = self._control.state
         fresh = self._control.is_fresh()
-        return Shown(
+        return ConfigurationReport(
             state.version,
             state.digest,
             fresh,
@@ -168,7 +172,7 @@
     )
 
 
-def _applied(declared: Declaration, answer: ConfigureAnswer) -> Applied:
+def _applied(declared: Declaration, answer: ConfigureAnswer) -> ApplyResult:
     if answer.verdict == CONFLICT:
         detail = (
             f"version {answer.version} is in force; this file declares "
@@ -177,4 +181,4 @@
         )
     else:
         detail = f"version {declared.version} is accepted"
-    return Applied(answer.verdict, answer.version, answer.digest, detail)
+    return ApplyResult(answer.verdict, answer.version, answer.digest, detail)
--- a/src/ridgesill/app/control_process.py
+++ b/src/ridgesill/app/control_process.py
@@ -73,7 +73,7 @@
         self._storage = FileLog(Path(settings.data_folder))
         self._formation = Formation(
             self._storage,
-            settings.peers,
+            settings.peer_address,
             settings.seeds,
             settings.voters,
             is_first_start=settings.is_first_start,
@@ -81,14 +81,14 @@
         self._node = make_node(settings, self._formation.identity)
         self._peers = PeerLinks(
             self._node.identity,
-            own_address=settings.peers,
+            own_address=settings.peer_address,
             handler=self._handle,
         )
         self.control = make_control(settings, self._node, self._peers)
         self.fleet = FleetClient(
             self._peers,
             self.control.leader_address,
-            settings.peers,
+            settings.peer_address,
             self._report_usage,
             others=settings.seeds,
         )
@@ -97,10 +97,10 @@
             self.fleet,
             UpstreamChannels(CONNECT_SECONDS),
             PlatformEngines(),
-            settings.bounds.lease,
-            settings.heartbeat,
+            settings.bounds.lease_seconds,
+            settings.heartbeat_seconds,
             tolerance=Tolerance(
-                settings.bounds.quota_window,
+                settings.bounds.quota_window_seconds,
                 settings.bounds.quota_share,
                 settings.bounds.quota_slack,
             ),
@@ -112,7 +112,7 @@
             PlatformControlCalls(),
             self._heartbeat_address,
         )
-        self._calls = HttpListener(settings.control, api.serve)
+        self._calls = HttpListener(settings.control_address, api.serve)
         self._peer_server = PeerServer(
             self._handle, self._node.identity, self._peers.traffic
         )
@@ -123,7 +123,7 @@
         owner = self.control.leader_address()
         if not owner:
             return ""
-        _, port = split_address(self._settings.control)
+        _, port = split_address(self._settings.control_address)
         return with_port(owner, port)
 
     def _report_usage(self) -> UsageReport:
@@ -202,7 +202,7 @@
         self._loop.add_signal_handler(signal.SIGTERM, self._stopping.set)
         self._loop.add_signal_handler(signal.SIGINT, self._stopping.set)
         self._loop.add_signal_handler(signal.SIGHUP, self._reload)
-        await self._peer_server.start(self._settings.peers_listen)
+        await self._peer_server.start(self._settings.peer_listen_address)
         await self._calls.start()
         stopping = self._loop.create_task(self._stopping.wait())
         working = self._loop.create_task(self._work())
@@ -210,7 +210,7 @@
             "control:started",
             vm=self._settings.vm,
             voter=self._node.voter,
-            peers=self._settings.peers,
+            peers=self._settings.peer_address,
         )
         await asyncio.wait(
             [stopping, working], return_when=asyncio.FIRST_COMPLETED
@@ -242,7 +242,7 @@
             group.create_task(self.fleet.run())
             group.create_task(
                 serve_metrics(
-                    self._settings.metrics,
+                    self._settings.metrics_address,
                     METRICS_PATH,
                     Instruments(
                         self._gauges(driver), self.owner.swap_telemetry
--- a/src/ridgesill/app/engine_loads.py
+++ b/src/ridgesill/app/engine_loads.py
@@ -196,7 +196,7 @@
         engine.held[artifact] = HeldArtifact(newest, now, now)
         engine.unanswered.pop(artifact, None)
         self._view.publish_resident(engine)
-        self._orders.telemetry.note_load(now - began)
+        self._orders.telemetry.record_load_seconds(now - began)
         log_message(
             "fleet:loaded",
             upstream=engine.name,
--- a/src/ridgesill/app/engine_orders.py
+++ b/src/ridgesill/app/engine_orders.py
@@ -30,7 +30,7 @@
 )
 from ridgesill.ports.dialect import EngineCalls
 from ridgesill.ports.http import ChannelError, HttpRequest, ResponseHead
-from ridgesill.ports.telemetry import KeptTelemetry, Telemetry
+from ridgesill.ports.telemetry import BufferedTelemetry, Telemetry
 
 # Within which an engine answers an order, in seconds, unless the answer is
 # lost; another copy goes out after that.
@@ -135,7 +135,7 @@
         self._deliver = deliver
         self._handle_later_start = hear_later_start
         self._handle_leaving = hear_leaving
-        self.telemetry: Telemetry = KeptTelemetry()
+        self.telemetry: Telemetry = BufferedTelemetry()
         self.unknown_words = UnknownWords(lambda: self.telemetry)
         self._sent = SentOrders()
         self._locks: dict[str, asyncio.Lock] = {}
@@ -294,7 +294,7 @@
         answer = await self._deliver(order, authority)
         verdict = self._read(answer)
         said = verdict.value if verdict else answer.delivery.value
-        self.telemetry.note_order(order.action.value, said)
+        self.telemetry.record_order(order.action.value, said)
         log_message(
             "fleet:order",
             action=order.action.value,
@@ -364,7 +364,7 @@
         return True
 
     async def _ask_report(self, engine: Engine) -> EngineReport | None:
-        request = self._calls.ask_report(engine.name, engine.address)
+        request = self._calls.write_report_request(engine.name, engine.address)
         try:
             async with asyncio.timeout(ORDER_TIMEOUT_SECONDS):
                 head, body = await self._exchange(engine.address, request)
--- a/src/ridgesill/app/exchange.py
+++ b/src/ridgesill/app/exchange.py
@@ -21,13 +21,13 @@
 from ridgesill.core.commands import OnceRecord
 from ridgesill.core.pool.messages import ABSENT, FAILED, FINE
 from ridgesill.ports.runner import (
-    AnswerCutError,
+    IncompleteAnswerError,
     RunnerFailure,
     RunnerRequest,
     RunnerResponse,
     Runners,
 )
-from ridgesill.ports.serving import CallerRequest, CutError, Reply
+from ridgesill.ports.serving import CallerRequest, IncompleteStreamError, Reply
 
 _ATTEMPTS = 4
 _DONE_MARK = b"[DONE]"
@@ -160,7 +160,7 @@
             return False
         if not failure.not_run and not self._request.repeatable:
             return False
-        return failure.absent or self._services.entry.retries.acquire()
+        return failure.lacks_adapter or self._services.entry.retries.acquire()
 
     def _send(self, admission: Admission) -> Result[Reply, RunnerFailure]:
         opened = self._services.runners.open(
@@ -170,7 +170,9 @@
         )
         if isinstance(opened, Err):
             failure = opened.err_value
-            self._release(admission, ABSENT if failure.absent else FAILED)
+            self._release(
+                admission, ABSENT if failure.lacks_adapter else FAILED
+            )
             self._log_failure(failure, admission)
             return Err(failure)
         return self._receive(opened.ok_value, admission)
@@ -194,7 +196,7 @@
                 body = self._relay(response, admission, first, chunks)
                 return Ok(self._reply(response, body, admission))
             data = response.read()
-        except AnswerCutError as error:
+        except IncompleteAnswerError as error:
             response.cancel()
             self._release(admission, FAILED)
             failure = RunnerFailure(
@@ -244,11 +246,11 @@
                 self._keep(kept, chunk)
                 yield chunk
             if response.status == 200 and _DONE_MARK not in tail:
-                raise CutError("the runner's stream ended early")
+                raise IncompleteStreamError("the runner's stream ended early")
             outcome = calls.COMPLETED
             response.release()
-        except AnswerCutError as error:
-            raise CutError(str(error)) from error
+        except IncompleteAnswerError as error:
+            raise IncompleteStreamError(str(error)) from error
         finally:
             # Also when the caller goes away: the closed connection makes
             # the runner cancel, and the slot's pin ends.
--- a/src/ridgesill/app/fleet_engines.py
+++ b/src/ridgesill/app/fleet_engines.py
@@ -234,7 +234,7 @@
         if registry is None or engine.name not in registry.upstreams:
             return
         upstream = registry.upstreams[engine.name]
-        name = self._calls.name_start(engine.name, report.start)
+        name = self._calls.make_incarnation_name(engine.name, report.start)
         # Below any number of its own heartbeats.
         heartbeat = Heartbeat(
             name,
--- a/src/ridgesill/app/forwarding.py
+++ b/src/ridgesill/app/forwarding.py
@@ -26,8 +26,8 @@
 from ridgesill.core.serving.rates import RateUse, weigh_priority
 from ridgesill.core.serving.routes import STREAM, Route
 from ridgesill.ports.dialect import (
-    NO_WORD,
-    ForwardTerms,
+    EMPTY_UPSTREAM_WORD,
+    ForwardOptions,
     RequestFacts,
 )
 from ridgesill.ports.http import (
@@ -385,13 +385,13 @@
             Whether it asks for rest, or for fewer requests.
         """
         dialect = self._front.dialect
-        unknown = dialect.find_unknown(head)
+        unknown = dialect.find_unknown_headers(head)
         if unknown:
             self._front.unknown_words.note(
                 upstream.name, upstream.address, "answer", unknown
             )
-        word = dialect.read_word(head)
-        if word == NO_WORD and not self._front.limits.known:
+        word = dialect.read_upstream_word(head)
+        if word == EMPTY_UPSTREAM_WORD and not self._front.limits.known:
             return False
         heard_in = HeardIn(
             self._facts.request,
@@ -420,7 +420,7 @@
         if self._splitter is not None:
             last_event = self._splitter.last_id
         now = self._loop.time()
-        terms = ForwardTerms(
+        terms = ForwardOptions(
             upstream.name,
             self._deadline - now,
             self._search.wanted().version,
@@ -428,7 +428,7 @@
             self._search.rank(now),
             self._customer.name if self._customer else "",
         )
-        forwarded = front.dialect.forward(self._request, terms)
+        forwarded = front.dialect.write_upstream_request(self._request, terms)
         fresh = 60.0 if route.is_idempotent else _FRESH_FOR_UNSAFE
         channel = await front.channels.take(
             upstream.address,
@@ -535,7 +535,7 @@
     def _note_served(self, upstream: Upstream, head: ResponseHead) -> None:
         now = self._loop.time()
         self._front.chooser.outcomes.record_success(upstream.name, now)
-        if not head.tells_its_end:
+        if not head.has_delimited_body:
             # It may be the end of the upstream that looks like the answer's.
             self._suspect.note_cut(upstream)
         elif head.status < _REDIRECT:
@@ -639,7 +639,7 @@
         seconds = self._loop.time() - arrived_at
         first = self._first_at - arrived_at if self._first_at else seconds
         route = self._route
-        self._front.telemetry.note_end(
+        self._front.telemetry.record_request_end(
             RequestEnd(
                 route.kind if route else "",
                 self._priority(),
--- a/src/ridgesill/app/front.py
+++ b/src/ridgesill/app/front.py
@@ -19,7 +19,7 @@
 from ridgesill.core.serving.retries import RetryBounds, ServiceRetries
 from ridgesill.core.serving.routes import RouteTable
 from ridgesill.ports.dialect import Dialect
-from ridgesill.ports.telemetry import KeptTelemetry, Telemetry
+from ridgesill.ports.telemetry import BufferedTelemetry, Telemetry
 
 
 class Front:
@@ -60,7 +60,7 @@
         self.words = UpstreamWords(chooser.unavailable, self.limits, fleet)
         self.in_progress = 0
         self.used: dict[str, int] = {}
-        self.telemetry: Telemetry = KeptTelemetry()
+        self.telemetry: Telemetry = BufferedTelemetry()
         self.unknown_words = UnknownWords(lambda: self.telemetry)
         # Noted when routes or upstreams become known.
         self.learned = ChangeSignal()
--- a/src/ridgesill/app/front_process.py
+++ b/src/ridgesill/app/front_process.py
@@ -77,7 +77,7 @@
         self.fleet = FleetClient(
             self._peers,
             self.control.leader_address,
-            settings.peers,
+            settings.peer_address,
             self._usage,
             settings.seeds,
             self._relay_address,
@@ -89,18 +89,23 @@
             UpstreamChannels(CONNECT_SECONDS),
             PlatformDialect(),
             RetryBounds(
-                bounds.retry_share, bounds.retry_slack, bounds.retry_window
+                bounds.retry_share,
+                bounds.retry_slack,
+                bounds.retry_window_seconds,
             ),
             self.control.freshness,
-            bounds.revocation * _REVOCATION_SHARE,
+            bounds.revocation_seconds * _REVOCATION_SHARE,
             settings.vm,
         )
         self.fleet.add_listener(self.front.learned.note)
         self.fleet.add_listener(self._note_news)
         self._callers = HttpListener(
-            settings.callers, functools.partial(serve_request, self.front)
+            settings.client_address,
+            functools.partial(serve_request, self.front),
+        )
+        self._readiness = HttpListener(
+            settings.readiness_address, self._tell_ready
         )
-        self._readiness = HttpListener(settings.readiness, self._tell_ready)
 
     def _note_news(self) -> None:
         self.front.chooser.update_means(self._loop.time())
@@ -196,7 +201,7 @@
             self._sweep(),
             self.front.quarantine.run(self.control.propose),
             serve_metrics(
-                self._settings.metrics,
+                self._settings.metrics_address,
                 METRICS_PATH,
                 Instruments(self._gauges(), self._swap_telemetry),
             ),
@@ -207,7 +212,7 @@
             "front:started",
             vm=self._settings.vm,
             data_centre=self._settings.data_centre,
-            peers=self._settings.peers,
+            peers=self._settings.peer_address,
         )
         stopping = self._loop.create_task(self._stopping.wait())
         await asyncio.wait(
@@ -261,7 +266,7 @@
 
     async def _finish_work(self) -> None:
         began = self._loop.time()
-        deadline = began + self._settings.bounds.grace - _GRACE_MARGIN
+        deadline = began + self._settings.bounds.grace_seconds - _GRACE_MARGIN
         self.front.refuses_from = began + _SERVES_SECONDS
         self.front.stops_at = deadline
         self._callers.drain()
--- a/src/ridgesill/app/order_holder.py
+++ b/src/ridgesill/app/order_holder.py
@@ -80,7 +80,7 @@
     channels: UpstreamChannels, calls: EngineCalls, order: FleetOrder
 ) -> OrderAnswer:
     """Sends an order to its engine; returns what became of it."""
-    request = calls.write_order(order)
+    request = calls.write_order_request(order)
     try:
         async with asyncio.timeout(ORDER_TIMEOUT_SECONDS):
             exchange = await channels.send(order.address, request)
--- a/src/ridgesill/app/platform_node.py
+++ b/src/ridgesill/app/platform_node.py
@@ -23,9 +23,9 @@
 def make_node(settings: PlatformSettings, voter: str = "") -> Node:
     """Returns this process as its peers know it, named by its address."""
     return Node(
-        settings.peers,
+        settings.peer_address,
         secrets.token_hex(4),
-        settings.peers,
+        settings.peer_address,
         settings.data_centre,
         voter,
     )
--- a/src/ridgesill/app/platform_roles.py
+++ b/src/ridgesill/app/platform_roles.py
@@ -8,8 +8,8 @@
 from ridgesill.app.clock import BootClockLoop
 from ridgesill.platform.settings import (
     PlatformSettings,
+    get_settings_path,
     read_settings,
-    settings_path,
 )
 
 
@@ -28,7 +28,7 @@
 
 
 def _run(make: Callable[[PlatformSettings], Any]) -> None:
-    settings = read_settings(settings_path())
+    settings = read_settings(get_settings_path())
 
     async def run() -> None:
         log = open_bounded_log(settings.vm)
--- a/src/ridgesill/app/telemetry.py
+++ b/src/ridgesill/app/telemetry.py
@@ -15,7 +15,7 @@
 
 from ridgesill.adapters.http1.server import HttpListener
 from ridgesill.ports.http import HttpRequest, Responder
-from ridgesill.ports.telemetry import KeptTelemetry, Telemetry
+from ridgesill.ports.telemetry import BufferedTelemetry, Telemetry
 
 # Imported one after the other, so that requests go on in between.
 _MODULES = (
@@ -62,8 +62,8 @@
         for name, read in self._gauges.items():
             metrics.watch(name, read)
         before = self._swap(metrics)
-        if isinstance(before, KeptTelemetry):
-            before.hand_over(metrics)
+        if isinstance(before, BufferedTelemetry):
+            before.replay_into(metrics)
         self._made = metrics
         log_message("metrics:made")
 
--- a/src/ridgesill/app/unknown_words.py
+++ b/src/ridgesill/app/unknown_words.py
@@ -34,7 +34,7 @@
             words: that nothing reads.
         """
         for word in words:
-            self._telemetry().note_unknown_word(word)
+            self._telemetry().record_unknown_field(word)
             if not self._logged.add((upstream, word)):
                 continue
             log_message(
--- a/src/ridgesill/app/upstream_words.py
+++ b/src/ridgesill/app/upstream_words.py
@@ -10,7 +10,7 @@
 from ridgesill.core.fleet.messages import READY, HeardLeave, Upstream
 from ridgesill.core.serving.front_limits import FrontLimits
 from ridgesill.core.serving.unavailable import Unavailable
-from ridgesill.ports.dialect import NO_WORD, UpstreamWord
+from ridgesill.ports.dialect import EMPTY_UPSTREAM_WORD, UpstreamWord
 
 # From this status on an answer is no success.
 _REDIRECT = 300
@@ -57,7 +57,9 @@
         """Takes what an upstream has said in an answer."""
         now = self._loop.time()
         is_news = self._take_limit(upstream, word, heard_in, now)
-        if is_news or word != attrs.evolve(NO_WORD, limit=word.limit):
+        if is_news or word != attrs.evolve(
+            EMPTY_UPSTREAM_WORD, limit=word.limit
+        ):
             self._log(upstream, word, heard_in)
         if word.rest:
             self._unavailable.record_rest(upstream.name, now + word.rest)
--- a/src/ridgesill/platform/requests.py
+++ b/src/ridgesill/platform/requests.py
@@ -3,12 +3,12 @@
 import re
 
 from ridgesill.core.serving.customers import digest_key
+from ridgesill.platform.known_fields import find_unknown_headers
 from ridgesill.platform.upstreams import is_leaving, read_instance
-from ridgesill.platform.words import find_unknown_headers
 from ridgesill.ports.dialect import (
-    NO_WORD,
+    EMPTY_UPSTREAM_WORD,
     NORMAL_PRIORITY,
-    ForwardTerms,
+    ForwardOptions,
     RequestFacts,
     UpstreamWord,
 )
@@ -16,8 +16,8 @@
     Headers,
     HttpRequest,
     ResponseHead,
+    drop_hop_by_hop_headers,
     find_header,
-    without_channel_headers,
 )
 
 _REQUEST_ID = b"request-id"
@@ -108,11 +108,13 @@
             key_digest=_key_digest(headers),
         )
 
-    def forward(self, request: HttpRequest, terms: ForwardTerms) -> HttpRequest:
+    def write_upstream_request(
+        self, request: HttpRequest, terms: ForwardOptions
+    ) -> HttpRequest:
         """Returns the request as it goes to an upstream."""
         kept = [
             (name, value)
-            for name, value in without_channel_headers(
+            for name, value in drop_hop_by_hop_headers(
                 request.headers, keep=_IDENTITY
             )
             if name not in _RESERVED and name != _LENGTH
@@ -144,7 +146,7 @@
         """Whether an upstream lacks what a request asks for."""
         return head.status == _MISDIRECTED
 
-    def read_word(self, head: ResponseHead) -> UpstreamWord:
+    def read_upstream_word(self, head: ResponseHead) -> UpstreamWord:
         """Returns what an upstream says of itself beside its answer."""
         limit, unread_limit = _read_limit(head)
         instance = ""
@@ -157,16 +159,16 @@
         if limit is None and not (
             leaves or rest or unread or instance or unread_limit
         ):
-            return NO_WORD
+            return EMPTY_UPSTREAM_WORD
         return UpstreamWord(rest, leaves, unread, instance, limit, unread_limit)
 
-    def find_unknown(self, head: ResponseHead) -> tuple[str, ...]:
+    def find_unknown_headers(self, head: ResponseHead) -> tuple[str, ...]:
         """Returns the words of an upstream that nothing here reads."""
         return find_unknown_headers(head)
 
     def answer_headers(self, head: ResponseHead) -> Headers:
         """Returns the headers of an answer that the client gets."""
-        return without_channel_headers(head.headers)
+        return drop_hop_by_hop_headers(head.headers)
 
     def retry_headers(self, after: float) -> Headers:
         """Returns headers that tell a client when to come back."""
--- a/src/ridgesill/platform/settings.py
+++ b/src/ridgesill/platform/settings.py
@@ -52,16 +52,16 @@
         quota_slack: tokens or requests beside that.
     """
 
-    drain: float = 2.0
-    grace: float = 8.0
-    configuration: float = 2.0
-    lease: float = 3.0
+    drain_seconds: float = 2.0
+    grace_seconds: float = 8.0
+    configuration_seconds: float = 2.0
+    lease_seconds: float = 3.0
     retry_share: float = 0.2
-    retry_window: float = 10.0
+    retry_window_seconds: float = 10.0
     retry_slack: float = 50.0
-    version: float = 5.0
-    revocation: float = float("inf")
-    quota_window: float = 8.0
+    version_seconds: float = 5.0
+    revocation_seconds: float = float("inf")
+    quota_window_seconds: float = 8.0
     quota_share: float = 0.1
     quota_slack: float = 0.0
 
@@ -90,26 +90,26 @@
 
     vm: str
     data_centre: str
-    callers: str
-    readiness: str
-    control: str
-    peers: str
-    peers_listen: str
-    metrics: str
+    client_address: str
+    readiness_address: str
+    control_address: str
+    peer_address: str
+    peer_listen_address: str
+    metrics_address: str
     seeds: tuple[str, ...]
     is_first_start: bool
     data_folder: str
-    losses: int
-    heartbeat: float
+    tolerated_losses: int
+    heartbeat_seconds: float
     bounds: Bounds
 
     @property
     def voters(self) -> int:
         """How many voters bear the loss of `losses` of them."""
-        return 2 * self.losses + 1
+        return 2 * self.tolerated_losses + 1
 
 
-def settings_path() -> str:
+def get_settings_path() -> str:
     """Returns the path of this process's settings file."""
     path = os.environ.get(_PATH_VARIABLE, "")
     if not path:
@@ -151,17 +151,17 @@
         return PlatformSettings(
             vm=self._text("node"),
             data_centre=self._text("zone"),
-            callers=str(listen.get("front") or ""),
-            readiness=str(listen.get("ready") or ""),
-            control=str(listen.get("control") or ""),
-            peers=peers,
-            peers_listen=os.environ.get(_PEERS_LISTEN_VARIABLE) or peers,
-            metrics=f"{self._text('ip')}:{_METRICS_PORT}",
+            client_address=str(listen.get("front") or ""),
+            readiness_address=str(listen.get("ready") or ""),
+            control_address=str(listen.get("control") or ""),
+            peer_address=peers,
+            peer_listen_address=os.environ.get(_PEERS_LISTEN_VARIABLE) or peers,
+            metrics_address=f"{self._text('ip')}:{_METRICS_PORT}",
             seeds=tuple(with_port(seed, port) for seed in self._seeds()),
             is_first_start=bool(self._document.get("bootstrap", False)),
             data_folder=str(self._document.get("data_directory") or ""),
-            losses=int(tolerance.get("machines", 0)),
-            heartbeat=self._heartbeat(),
+            tolerated_losses=int(tolerance.get("machines", 0)),
+            heartbeat_seconds=self._heartbeat(),
             bounds=self._bounds(),
         )
 
@@ -205,21 +205,25 @@
             return float(given.get(name, fallback * 1000)) / 1000
 
         return Bounds(
-            drain=milliseconds("drain_ms", default.drain),
-            grace=float(given.get("grace_s", default.grace)),
-            configuration=milliseconds("config_ms", default.configuration),
-            lease=milliseconds("lease_ms", default.lease),
+            drain_seconds=milliseconds("drain_ms", default.drain_seconds),
+            grace_seconds=float(given.get("grace_s", default.grace_seconds)),
+            configuration_seconds=milliseconds(
+                "config_ms", default.configuration_seconds
+            ),
+            lease_seconds=milliseconds("lease_ms", default.lease_seconds),
             retry_share=float(given.get("budget_ratio", default.retry_share)),
-            retry_window=float(
-                given.get("budget_window_s", default.retry_window)
+            retry_window_seconds=float(
+                given.get("budget_window_s", default.retry_window_seconds)
             ),
             retry_slack=float(given.get("budget_slack", default.retry_slack)),
-            version=milliseconds("version_ms", default.version),
-            revocation=milliseconds("revoke_ms", default.revocation)
+            version_seconds=milliseconds("version_ms", default.version_seconds),
+            revocation_seconds=milliseconds(
+                "revoke_ms", default.revocation_seconds
+            )
             if given.get("strict_revocation")
-            else default.revocation,
-            quota_window=float(
-                given.get("quota_window_s", default.quota_window)
+            else default.revocation_seconds,
+            quota_window_seconds=float(
+                given.get("quota_window_s", default.quota_window_seconds)
             ),
             quota_share=float(given.get("quota_excess", default.quota_share)),
             quota_slack=float(given.get("quota_slack", default.quota_slack)),
--- a/src/ridgesill/platform/upstreams.py
+++ b/src/ridgesill/platform/upstreams.py
@@ -19,7 +19,7 @@
     OrderVerdict,
 )
 from ridgesill.core.unknown_fields import find_unknown_fields
-from ridgesill.platform.words import HEARTBEAT_FIELDS, REPORT_FIELDS
+from ridgesill.platform.known_fields import HEARTBEAT_FIELDS, REPORT_FIELDS
 from ridgesill.ports.http import HttpRequest, ResponseHead, find_header
 
 # An upstream that leaves says so in all its answers.
@@ -109,7 +109,7 @@
     return text
 
 
-def name_start(identifier: str, born: int) -> str:
+def make_incarnation_name(identifier: str, born: int) -> str:
     """Returns the name by which one start of an upstream is known here.
 
     What is known of an upstream, and what runs there, ends with its start. A
@@ -133,7 +133,7 @@
     _check_address(said.address)
     remaining = said.remaining_ms
     return Heartbeat(
-        name=name_start(identifier, said.born),
+        name=make_incarnation_name(identifier, said.born),
         service=said.service,
         address=said.address,
         data_centre=said.zone,
@@ -206,7 +206,7 @@
 class PlatformEngines:
     """Implements `ports.dialect.EngineCalls`."""
 
-    def write_order(self, order: FleetOrder) -> HttpRequest:
+    def write_order_request(self, order: FleetOrder) -> HttpRequest:
         """Returns the call that carries an order."""
         model, _, adapter = order.artifact.partition("/")
         body: dict[str, Any] = {"operation": order.action.value, "model": model}
@@ -227,7 +227,7 @@
         """Whether an engine says in an answer that it leaves."""
         return is_leaving(head)
 
-    def ask_report(self, upstream: str, address: str) -> HttpRequest:
+    def write_report_request(self, upstream: str, address: str) -> HttpRequest:
         """Returns the call that asks an engine for its report."""
         return _call(b"GET", _REPORT_PATH, upstream, address, None)
 
@@ -250,9 +250,9 @@
             unknown=find_unknown_fields(body, REPORT_FIELDS),
         )
 
-    def name_start(self, upstream: str, start: int) -> str:
+    def make_incarnation_name(self, upstream: str, start: int) -> str:
         """Returns the name of another start of an upstream."""
-        return name_start(read_instance(upstream), start)
+        return make_incarnation_name(read_instance(upstream), start)
 
 
 def _call(
--- a/src/ridgesill/ports/administration.py
+++ b/src/ridgesill/ports/administration.py
@@ -8,7 +8,7 @@
 
 
 @attrs.frozen
-class Applied:
+class ApplyResult:
     """What became of a file.
 
     Attributes:
@@ -59,7 +59,7 @@
 
 
 @attrs.frozen
-class Shown:
+class ConfigurationReport:
     """The configuration in force on the node that was asked.
 
     Attributes:
@@ -96,10 +96,10 @@
 class Administration(Protocol):
     """Carries operators' requests out; used from worker threads."""
 
-    def apply(self, operation: str, declared: Declaration) -> Applied:
+    def apply(self, operation: str, declared: Declaration) -> ApplyResult:
         """Brings a declaration into force, or says why not."""
 
-    def show(self) -> Shown:
+    def show(self) -> ConfigurationReport:
         """Returns the configuration in force."""
 
     def status(self) -> Status:
--- a/src/ridgesill/ports/dialect.py
+++ b/src/ridgesill/ports/dialect.py
@@ -52,7 +52,7 @@
 
 
 @attrs.frozen
-class ForwardTerms:
+class ForwardOptions:
     """What is said to an upstream beside the client's own words.
 
     Attributes:
@@ -97,7 +97,7 @@
 
 
 # What nearly every answer says.
-NO_WORD = UpstreamWord()
+EMPTY_UPSTREAM_WORD = UpstreamWord()
 
 
 class Dialect(Protocol):
@@ -106,7 +106,9 @@
     def read_request(self, request: HttpRequest) -> RequestFacts:
         """Returns what a client says of its request."""
 
-    def forward(self, request: HttpRequest, terms: ForwardTerms) -> HttpRequest:
+    def write_upstream_request(
+        self, request: HttpRequest, terms: ForwardOptions
+    ) -> HttpRequest:
         """Returns the request as it goes to an upstream."""
 
     def is_not_run(self, head: ResponseHead) -> bool:
@@ -115,10 +117,10 @@
     def is_misdirected(self, head: ResponseHead) -> bool:
         """Whether an upstream lacks what a request asks for."""
 
-    def read_word(self, head: ResponseHead) -> UpstreamWord:
+    def read_upstream_word(self, head: ResponseHead) -> UpstreamWord:
         """Returns what an upstream says of itself beside its answer."""
 
-    def find_unknown(self, head: ResponseHead) -> tuple[str, ...]:
+    def find_unknown_headers(self, head: ResponseHead) -> tuple[str, ...]:
         """Returns the words of an upstream that nothing here reads."""
 
     def answer_headers(self, head: ResponseHead) -> Headers:
@@ -131,7 +133,7 @@
 class EngineCalls(Protocol):
     """Translates orders to engines and what they report."""
 
-    def write_order(self, order: FleetOrder) -> HttpRequest:
+    def write_order_request(self, order: FleetOrder) -> HttpRequest:
         """Returns the call that carries an order."""
 
     def read_verdict(self, status: int) -> OrderVerdict:
@@ -140,10 +142,10 @@
     def is_leaving(self, head: ResponseHead) -> bool:
         """Whether an engine says in an answer that it leaves."""
 
-    def ask_report(self, upstream: str, address: str) -> HttpRequest:
+    def write_report_request(self, upstream: str, address: str) -> HttpRequest:
         """Returns the call that asks an engine for its report."""
 
-    def name_start(self, upstream: str, start: int) -> str:
+    def make_incarnation_name(self, upstream: str, start: int) -> str:
         """Returns the name of another start of an upstream."""
 
     def read_report(self, body: bytes) -> EngineReport:
--- a/src/ridgesill/ports/http.py
+++ b/src/ridgesill/ports/http.py
@@ -29,7 +29,7 @@
 )
 
 
-def without_channel_headers(
+def drop_hop_by_hop_headers(
     headers: Headers, keep: frozenset[bytes] = frozenset()
 ) -> Headers:
     """Returns the headers that travel beyond one channel.
@@ -109,7 +109,7 @@
     reason: bytes = b""
 
     @property
-    def tells_its_end(self) -> bool:
+    def has_delimited_body(self) -> bool:
         """Whether a body that was cut off shows; else its channel's end is its.
 
         By a length, or in chunks.
--- a/src/ridgesill/ports/runner.py
+++ b/src/ridgesill/ports/runner.py
@@ -38,10 +38,10 @@
     peer: str
     detail: str
     not_run: bool
-    absent: bool = False
+    lacks_adapter: bool = False
 
 
-class AnswerCutError(Exception):
+class IncompleteAnswerError(Exception):
     """An answer that ended before it was whole."""
 
 
@@ -59,10 +59,10 @@
         """All other headers."""
 
     def chunks(self) -> Iterator[bytes]:
-        """Yields the body as it arrives; raises `AnswerCutError`."""
+        """Yields the body as it arrives; raises `IncompleteAnswerError`."""
 
     def read(self) -> bytes:
-        """Returns the whole body; raises `AnswerCutError`."""
+        """Returns the whole body; raises `IncompleteAnswerError`."""
 
     def release(self) -> None:
         """Ends an answer that was read whole."""
--- a/src/ridgesill/ports/serving.py
+++ b/src/ridgesill/ports/serving.py
@@ -50,7 +50,7 @@
     headers: tuple[tuple[str, str], ...] = ()
 
 
-class CutError(Exception):
+class IncompleteStreamError(Exception):
     """A stream that ended early; the connection must not end cleanly."""
 
 
--- a/src/ridgesill/ports/telemetry.py
+++ b/src/ridgesill/ports/telemetry.py
@@ -35,8 +35,8 @@
     outcome: str
     reason: str
     seconds: float
-    first_seconds: float
-    waited_seconds: float
+    first_byte_seconds: float
+    load_wait_seconds: float
     attempts: int
     customer: str = ""
     in_time: bool = False
@@ -45,20 +45,20 @@
 class Telemetry(Protocol):
     """Takes what is counted."""
 
-    def note_end(self, end: RequestEnd) -> None:
+    def record_request_end(self, end: RequestEnd) -> None:
         """Counts the end of a request."""
 
-    def note_order(self, action: str, verdict: str) -> None:
+    def record_order(self, action: str, verdict: str) -> None:
         """Counts an order to an engine."""
 
-    def note_load(self, seconds: float) -> None:
+    def record_load_seconds(self, seconds: float) -> None:
         """Notes how long a load took."""
 
-    def note_unknown_word(self, word: str) -> None:
+    def record_unknown_field(self, word: str) -> None:
         """Counts a word of an upstream that nothing here reads."""
 
 
-class KeptTelemetry:
+class BufferedTelemetry:
     """Keeps the latest of what is counted until the instruments are there."""
 
     def __init__(self) -> None:
@@ -66,23 +66,23 @@
             collections.deque(maxlen=_KEPT_MOST)
         )
 
-    def note_end(self, end: RequestEnd) -> None:
+    def record_request_end(self, end: RequestEnd) -> None:
         """Counts the end of a request."""
-        self._kept.append(lambda to: to.note_end(end))
+        self._kept.append(lambda to: to.record_request_end(end))
 
-    def note_order(self, action: str, verdict: str) -> None:
+    def record_order(self, action: str, verdict: str) -> None:
         """Counts an order to an engine."""
-        self._kept.append(lambda to: to.note_order(action, verdict))
+        self._kept.append(lambda to: to.record_order(action, verdict))
 
-    def note_load(self, seconds: float) -> None:
+    def record_load_seconds(self, seconds: float) -> None:
         """Notes how long a load took."""
-        self._kept.append(lambda to: to.note_load(seconds))
+        self._kept.append(lambda to: to.record_load_seconds(seconds))
 
-    def note_unknown_word(self, word: str) -> None:
+    def record_unknown_field(self, word: str) -> None:
         """Counts a word of an upstream that nothing here reads."""
-        self._kept.append(lambda to: to.note_unknown_word(word))
+        self._kept.append(lambda to: to.record_unknown_field(word))
 
-    def hand_over(self, to: Telemetry) -> None:
+    def replay_into(self, to: Telemetry) -> None:
         """Has the instruments count what was kept."""
         for note in self._kept:
             note(to)
--- a/src/ridgesill/standin/emulator/messages.py
+++ b/src/ridgesill/standin/emulator/messages.py
@@ -7,7 +7,7 @@
     FleetOrder,
     OrderVerdict,
 )
-from ridgesill.ports.dialect import ForwardTerms, RequestFacts, UpstreamWord
+from ridgesill.ports.dialect import ForwardOptions, RequestFacts, UpstreamWord
 from ridgesill.ports.http import (
     Headers,
     HttpRequest,
@@ -39,7 +39,9 @@
         """Returns what a caller says of its request."""
         return self._facts[find_header(request.headers, _REQUEST)]
 
-    def forward(self, request: HttpRequest, terms: ForwardTerms) -> HttpRequest:
+    def write_upstream_request(
+        self, request: HttpRequest, terms: ForwardOptions
+    ) -> HttpRequest:
         """Returns the request as it goes to an upstream."""
         encoded = (_TERMS, msgspec.json.encode(terms))
         return HttpRequest(
@@ -50,7 +52,7 @@
         """Whether an upstream says that it has not run a request."""
         return bool(find_header(head.headers, _NOT_RUN))
 
-    def read_word(self, head: ResponseHead) -> UpstreamWord:
+    def read_upstream_word(self, head: ResponseHead) -> UpstreamWord:
         """Returns what an engine says of itself: nothing."""
         return UpstreamWord()
 
@@ -58,7 +60,7 @@
         """Whether an upstream lacks what a request asks for."""
         return head.status == _MISDIRECTED
 
-    def find_unknown(self, head: ResponseHead) -> tuple[str, ...]:
+    def find_unknown_headers(self, head: ResponseHead) -> tuple[str, ...]:
         """Finds none: emulated engines say nothing else."""
         return ()
 
@@ -77,10 +79,10 @@
     return HttpRequest(b"POST", path.encode(), headers, arrived_at=now)
 
 
-def read_terms(request: HttpRequest) -> tuple[str, ForwardTerms]:
+def read_terms(request: HttpRequest) -> tuple[str, ForwardOptions]:
     """Returns the id of a forwarded request, and what a front asks."""
     terms = find_header(request.headers, _TERMS)
-    decoded = msgspec.json.decode(terms, type=ForwardTerms)
+    decoded = msgspec.json.decode(terms, type=ForwardOptions)
     return find_header(request.headers, _REQUEST), decoded
 
 
@@ -98,7 +100,7 @@
 class EmulatedCalls:
     """Implements `ports.dialect.EngineCalls`."""
 
-    def write_order(self, order: FleetOrder) -> HttpRequest:
+    def write_order_request(self, order: FleetOrder) -> HttpRequest:
         """Returns the call that carries an order."""
         return HttpRequest(b"POST", _ORDER, (), msgspec.json.encode(order))
 
@@ -110,11 +112,11 @@
         """Whether an engine says that it leaves: none does."""
         return False
 
-    def ask_report(self, upstream: str, address: str) -> HttpRequest:
+    def write_report_request(self, upstream: str, address: str) -> HttpRequest:
         """Returns the call that asks an engine for its report."""
         return HttpRequest(b"GET", _REPORT, ())
 
-    def name_start(self, upstream: str, start: int) -> str:
+    def make_incarnation_name(self, upstream: str, start: int) -> str:
         """Returns the name of another start; emulated engines have new ones."""
         return f"{upstream}.{start}"
 
--- a/testing/adapters/test_tls.py
+++ b/testing/adapters/test_tls.py
@@ -14,7 +14,7 @@
 from ridgesill.core.following import Propose, ProposeReply
 from ridgesill.ports.peers import PeerError
 from testing.clients import chat, open_stream
-from testing.conftest import configure, make_small
+from testing.conftest import configure, make_small_deployment
 from testing.processes import deployed, free_address, wait_until
 
 
@@ -118,7 +118,7 @@
         self, tmp_path: Path
     ) -> None:
         keys = make_keys(tmp_path)
-        deployment = make_small(tmp_path, {"tls": keys.settings()})
+        deployment = make_small_deployment(tmp_path, {"tls": keys.settings()})
         with deployed(deployment):
             configure(deployment)
             node = deployment.nodes["n1"]
--- a/testing/app/test_exchange.py
+++ b/testing/app/test_exchange.py
@@ -14,11 +14,11 @@
 from ridgesill.core.pool.messages import FAILED, FINE
 from ridgesill.core.routing import RetryBudget
 from ridgesill.ports.runner import (
-    AnswerCutError,
+    IncompleteAnswerError,
     RunnerFailure,
     RunnerRequest,
 )
-from ridgesill.ports.serving import CallerRequest, CutError, Reply
+from ridgesill.ports.serving import CallerRequest, IncompleteStreamError, Reply
 
 _NOT_SENT = RunnerFailure("connect", "r:1", "refused", not_run=True)
 _UNSURE = RunnerFailure("request", "r:1", "reset", not_run=False)
@@ -101,7 +101,7 @@
         """Yields the chunks; None stands for a cut."""
         for chunk in self._chunks:
             if chunk is None:
-                raise AnswerCutError("cut")
+                raise IncompleteAnswerError("cut")
             yield chunk
 
     def read(self) -> bytes:
@@ -220,7 +220,7 @@
         response = FakeResponse(chunks)
         bench = Bench([None], [response])
         reply = bench.serve(streamed=True)
-        with pytest.raises(CutError):
+        with pytest.raises(IncompleteStreamError):
             b"".join(reply.body)
         assert response.ended == "cancelled"
         assert bench.entry.finished == [FINE]
--- a/testing/app/test_forwarding.py
+++ b/testing/app/test_forwarding.py
@@ -23,7 +23,7 @@
 )
 from ridgesill.core.serving.rates import RateState, RateUse
 from ridgesill.core.serving.routes import RouteTable
-from ridgesill.ports.telemetry import KeptTelemetry, RequestEnd
+from ridgesill.ports.telemetry import BufferedTelemetry, RequestEnd
 from testing.app.front_world import (
     Call,
     FrontWorld,
@@ -766,14 +766,14 @@
         assert world.front.quotas.collect_uses() == {"alice": RateUse()}
 
 
-class Ends(KeptTelemetry):
+class Ends(BufferedTelemetry):
     """Keeps the ends of requests."""
 
     def __init__(self) -> None:
         super().__init__()
         self.ends: list[RequestEnd] = []
 
-    def note_end(self, end: RequestEnd) -> None:
+    def record_request_end(self, end: RequestEnd) -> None:
         self.ends.append(end)
 
 
--- a/testing/app/test_front_process.py
+++ b/testing/app/test_front_process.py
@@ -57,7 +57,7 @@
     def make_front(self, listener: HttpListener) -> FrontProcess:
         """Returns a front of which only its end is there."""
         made = object.__new__(FrontProcess)
-        bounds = types.SimpleNamespace(grace=8.0)
+        bounds = types.SimpleNamespace(grace_seconds=8.0)
         made._settings = types.SimpleNamespace(bounds=bounds)  # type: ignore[assignment]
         made._loop = asyncio.get_running_loop()
         made._callers = listener
--- a/testing/app/test_telemetry.py
+++ b/testing/app/test_telemetry.py
@@ -8,7 +8,7 @@
 
 from ridgesill.app import telemetry
 from ridgesill.app.telemetry import Instruments
-from ridgesill.ports.telemetry import KeptTelemetry, RequestEnd, Telemetry
+from ridgesill.ports.telemetry import BufferedTelemetry, RequestEnd, Telemetry
 
 END = RequestEnd("stream", 0, "served", "", 0.5, 0.1, 0.0, 1)
 
@@ -17,7 +17,7 @@
     """A process that counts."""
 
     def __init__(self) -> None:
-        self.telemetry: Telemetry = KeptTelemetry()
+        self.telemetry: Telemetry = BufferedTelemetry()
 
     def swap(self, instruments: Telemetry) -> Telemetry:
         """Takes the instruments."""
@@ -33,9 +33,9 @@
         instruments = Instruments(
             {"ridgesill_answer": lambda: 42.0}, counting.swap
         )
-        counting.telemetry.note_end(END)
-        counting.telemetry.note_load(0.3)
-        counting.telemetry.note_order("load", "taken")
+        counting.telemetry.record_request_end(END)
+        counting.telemetry.record_load_seconds(0.3)
+        counting.telemetry.record_order("load", "taken")
         text = (await instruments.render()).decode()
         assert "ridgesill_answer 42.0" in text
         assert 'outcome="served"' in text
@@ -45,9 +45,9 @@
     async def test_each_is_counted_once(self) -> None:
         counting = Counting()
         instruments = Instruments({}, counting.swap)
-        counting.telemetry.note_load(0.3)
+        counting.telemetry.record_load_seconds(0.3)
         await instruments.render()
-        counting.telemetry.note_load(0.4)
+        counting.telemetry.record_load_seconds(0.4)
         text = (await instruments.render()).decode()
         assert "ridgesill_adapter_load_seconds_count 2.0" in text
 
@@ -70,8 +70,8 @@
         assert set(threads) == {threading.main_thread()}
 
     def test_only_the_latest_are_kept(self) -> None:
-        kept, taken = KeptTelemetry(), KeptTelemetry()
+        kept, taken = BufferedTelemetry(), BufferedTelemetry()
         for _ in range(5000):
-            kept.note_load(0.1)
-        kept.hand_over(taken)
+            kept.record_load_seconds(0.1)
+        kept.replay_into(taken)
         assert len(taken._kept) == 1000
--- a/testing/app/test_unknown_words.py
+++ b/testing/app/test_unknown_words.py
@@ -3,18 +3,18 @@
 import eliot.testing
 
 from ridgesill.app.unknown_words import UnknownWords
-from ridgesill.ports.telemetry import KeptTelemetry
+from ridgesill.ports.telemetry import BufferedTelemetry
 from testing.app.front_world import Call, FrontWorld
 
 
-class CountedWords(KeptTelemetry):
+class CountedWords(BufferedTelemetry):
     """Keeps the words that it is told."""
 
     def __init__(self) -> None:
         super().__init__()
         self.words: list[str] = []
 
-    def note_unknown_word(self, word: str) -> None:
+    def record_unknown_field(self, word: str) -> None:
         """Keeps a word."""
         self.words.append(word)
 
--- a/testing/clients.py
+++ b/testing/clients.py
@@ -14,7 +14,7 @@
 
 
 @attrs.frozen
-class Answered:
+class CallerAnswer:
     """An answer, read whole."""
 
     status: int
@@ -46,7 +46,7 @@
     body: bytes = b"",
     headers: dict[str, str] | None = None,
     timeout: float = 30.0,
-) -> Answered:
+) -> CallerAnswer:
     """Returns a node's answer to a caller."""
     answer = urllib3.request(
         method,
@@ -56,7 +56,7 @@
         timeout=timeout,
         retries=False,
     )
-    return Answered(answer.status, answer.headers, answer.data)
+    return CallerAnswer(answer.status, answer.headers, answer.data)
 
 
 def chat_body(model: str, content: str = "hi", **fields: Any) -> bytes:
@@ -70,7 +70,7 @@
     model: str,
     headers: dict[str, str] | None = None,
     **fields: Any,
-) -> Answered:
+) -> CallerAnswer:
     """Returns the answer to a chat completion."""
     body = chat_body(model, **fields)
     return request(node, "POST", CHAT, body, headers)
--- a/testing/conftest.py
+++ b/testing/conftest.py
@@ -9,7 +9,7 @@
 from testing.processes import Deployment, deployed, wait_until
 
 # Short leases keep scenarios short; their proportions are the defaults'.
-FAST = {
+SHORT_LEASES = {
     "lease": {
         "lease_seconds": 2.0,
         "node_patience_seconds": 2.0,
@@ -19,9 +19,11 @@
 }
 
 
-def make_small(folder: Path, settings: dict | None = None) -> Deployment:
+def make_small_deployment(
+    folder: Path, settings: dict | None = None
+) -> Deployment:
     """Returns the demo's deployment with short leases, not started."""
-    return make_deployment(folder, {**FAST, **(settings or {})})
+    return make_deployment(folder, {**SHORT_LEASES, **(settings or {})})
 
 
 def configure(deployment: Deployment) -> None:
@@ -37,7 +39,9 @@
 def serving(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Deployment]:
     """A small deployment that serves; for tests that leave it as it is."""
     limits = {"limits": {"body_bytes": 65536, "client_seconds": 2}}
-    deployment = make_small(tmp_path_factory.mktemp("serving"), limits)
+    deployment = make_small_deployment(
+        tmp_path_factory.mktemp("serving"), limits
+    )
     with deployed(deployment):
         configure(deployment)
         yield deployment
@@ -46,7 +50,7 @@
 @pytest.fixture
 def small(tmp_path: Path) -> Iterator[Deployment]:
     """A small deployment of its own for a test that breaks it."""
-    deployment = make_small(tmp_path)
+    deployment = make_small_deployment(tmp_path)
     with deployed(deployment):
         configure(deployment)
         yield deployment
--- a/testing/platform/test_configuration.py
+++ b/testing/platform/test_configuration.py
@@ -156,9 +156,9 @@
             "bounds: {lease_ms: 2500, budget_slack: 7}\n"
         )
         settings = read_settings(str(path))
-        assert settings.peers == "10.0.0.1:7000"
+        assert settings.peer_address == "10.0.0.1:7000"
         assert settings.seeds == ("10.0.0.2:7000",)
-        assert settings.bounds.lease == 2.5
+        assert settings.bounds.lease_seconds == 2.5
         assert settings.bounds.retry_slack == 7
 
 
--- a/testing/platform/test_words.py
+++ b/testing/platform/test_known_fields.py
@@ -8,9 +8,13 @@
 
 import pytest
 
+from ridgesill.platform.known_fields import (
+    HEADERS,
+    HEARTBEAT_FIELDS,
+    REPORT_FIELDS,
+)
 from ridgesill.platform.requests import PlatformDialect
 from ridgesill.platform.upstreams import PlatformEngines, read_heartbeat
-from ridgesill.platform.words import HEADERS, HEARTBEAT_FIELDS, REPORT_FIELDS
 from ridgesill.ports.http import ResponseHead
 
 _PAGE = Path(__file__).parents[2] / "docs" / "reference" / "upstream-words.md"
@@ -31,7 +35,7 @@
     def test_a_header_that_nothing_reads_is_found(self) -> None:
         headers = ((b"server-stamp", b"s"), (b"server-mood", b"sad"))
         head = ResponseHead(200, headers)
-        assert PlatformDialect().find_unknown(head) == ("server-mood",)
+        assert PlatformDialect().find_unknown_headers(head) == ("server-mood",)
 
     def test_usual_headers_are_known(self) -> None:
         headers = (
@@ -41,7 +45,7 @@
             (b"x-of-the-service", b"y"),
         )
         head = ResponseHead(200, headers)
-        assert PlatformDialect().find_unknown(head) == ()
+        assert PlatformDialect().find_unknown_headers(head) == ()
 
     @pytest.mark.parametrize(
         ("more", "unknown"), [(b"", ()), (b',"mood":"sad"', ("mood",))]
--- a/testing/platform/test_requests.py
+++ b/testing/platform/test_requests.py
@@ -8,7 +8,7 @@
 from ridgesill.core.fleet.messages import READY
 from ridgesill.core.serving.customers import digest_key
 from ridgesill.platform.requests import PlatformDialect
-from ridgesill.ports.dialect import ForwardTerms
+from ridgesill.ports.dialect import ForwardOptions
 from ridgesill.ports.http import Headers, HttpRequest, ResponseHead
 from testing.app.front_world import Call, FrontWorld
 
@@ -31,7 +31,11 @@
     """Returns the headers that reach an upstream."""
     given = tuple((n.lower().encode(), v.encode()) for n, v in headers)
     request = HttpRequest(b"POST", b"/x", given, b"body")
-    return PlatformDialect().forward(request, ForwardTerms("u1", 1.0)).headers
+    return (
+        PlatformDialect()
+        .write_upstream_request(request, ForwardOptions("u1", 1.0))
+        .headers
+    )
 
 
 async def answer_ok(call: Call) -> None:
@@ -120,9 +124,9 @@
             (b"credential", b"k1"),
             (b"connection", b"tenant, credential"),
         )
-        terms = ForwardTerms("u1", 1.0, customer="alice")
+        terms = ForwardOptions("u1", 1.0, customer="alice")
         request = HttpRequest(b"GET", b"/x", headers)
-        sent = PlatformDialect().forward(request, terms).headers
+        sent = PlatformDialect().write_upstream_request(request, terms).headers
         assert [v for n, v in sent if n == b"tenant"] == [b"alice"]
         assert b"k1" not in [v for _, v in sent]
 
@@ -159,29 +163,29 @@
         self, asked: bytes, rest: float
     ) -> None:
         head = ResponseHead(503, ((b"retry-after", asked),))
-        word = PlatformDialect().read_word(head)
+        word = PlatformDialect().read_upstream_word(head)
         assert word.rest == pytest.approx(rest)
         assert bool(word.unread) == (rest in (0.0, 60.0))
 
     def test_only_a_503_asks_for_rest(self) -> None:
         head = ResponseHead(200, ((b"retry-after", b"3"),))
-        assert not PlatformDialect().read_word(head).rest
+        assert not PlatformDialect().read_upstream_word(head).rest
 
 
 class TestWordsTogether:
     def test_a_rest_and_a_limit(self) -> None:
         headers = ((b"retry-after", b"2"), (b"server-limit", b"1.8"))
-        word = PlatformDialect().read_word(ResponseHead(503, headers))
+        word = PlatformDialect().read_upstream_word(ResponseHead(503, headers))
         assert (word.rest, word.limit) == (2.0, 1.8)
 
     def test_a_limit_and_leaving(self) -> None:
         headers = ((b"server-leaving", b"1"), (b"server-limit", b"1.8"))
-        word = PlatformDialect().read_word(ResponseHead(200, headers))
+        word = PlatformDialect().read_upstream_word(ResponseHead(200, headers))
         assert (word.leaves, word.limit) == (True, 1.8)
 
     def test_a_limit_of_one_that_has_another_s_address(self) -> None:
         headers = ((b"instance-id", b"i-2"), (b"server-limit", b"1.8"))
-        word = PlatformDialect().read_word(ResponseHead(421, headers))
+        word = PlatformDialect().read_upstream_word(ResponseHead(421, headers))
         assert (word.instance, word.limit) == ("i-2", 1.8)
 
 
--- a/testing/platform/test_upstreams.py
+++ b/testing/platform/test_upstreams.py
@@ -66,7 +66,7 @@
         order = FleetOrder(
             Action.LOAD, name, "10.0.0.1:80", "m/a1", 0, "vm", 7, 3
         )
-        request = PlatformEngines().write_order(order)
+        request = PlatformEngines().write_order_request(order)
         assert (b"expect-instance", b"i-1") in request.headers
         assert msgspec.json.decode(request.body)["expected_revision"] == 3
 
--- a/testing/platform_world.py
+++ b/testing/platform_world.py
@@ -132,13 +132,13 @@
     async def _beat(self) -> None:
         while True:
             for control in self._controls:
-                if await self.say():
+                if await self.send_heartbeat():
                     break
                 self._controls.append(self._controls.pop(0))
                 del control
             await asyncio.sleep(_HEARTBEAT_SECONDS)
 
-    async def say(self) -> bool:
+    async def send_heartbeat(self) -> bool:
         """Sends a heartbeat; returns whether it was acknowledged."""
         self._sequence += 1
         body = {
@@ -273,15 +273,15 @@
 
     # -- what operators and clients do ---------------------------------
 
-    async def put(self, document: bytes) -> None:
+    async def put_configuration(self, document: bytes) -> None:
         """Sends a configuration until it is acknowledged."""
         path = "/ridgesill/Configuration.Put"
-        await self.until(lambda: self._ask_controls("POST", path, document))
+        await self.poll(lambda: self._ask_controls("POST", path, document))
 
     async def read_version(self) -> int:
         """Returns the version that a control node is sure of."""
         path = "/ridgesill/Configuration.Get"
-        answer = await self.until(lambda: self._ask_controls("GET", path))
+        answer = await self.poll(lambda: self._ask_controls("GET", path))
         return int(msgspec.json.decode(answer.data)["version"])
 
     async def _ask_controls(
@@ -294,7 +294,7 @@
                 return answer
         return None
 
-    async def ask(self, front: Vm, path: str) -> Any:
+    async def send_request(self, front: Vm, path: str) -> Any:
         """Sends a client's request; returns the answer or None."""
         return await call(
             "GET",
@@ -304,16 +304,16 @@
             request_deadline="900",
         )
 
-    async def served(self, front: Vm, path: str) -> None:
+    async def wait_until_served(self, front: Vm, path: str) -> None:
         """Waits until a front serves a path."""
 
         async def try_once() -> Any:
-            answer = await self.ask(front, path)
+            answer = await self.send_request(front, path)
             return answer if answer and answer.status == 200 else None
 
-        await self.until(try_once)
+        await self.poll(try_once)
 
-    async def until(self, attempt: Any, seconds: float = _READY_SECONDS) -> Any:
+    async def poll(self, attempt: Any, seconds: float = _READY_SECONDS) -> Any:
         """Tries until something comes back; returns it."""
         deadline = asyncio.get_running_loop().time() + seconds
         while asyncio.get_running_loop().time() < deadline:
--- a/testing/scenarios/test_failures.py
+++ b/testing/scenarios/test_failures.py
@@ -13,8 +13,8 @@
 from pytest_bdd import given, parsers, scenarios, then, when
 
 from bench.demo import make_configuration
-from testing.clients import Answered, chat, open_stream, request
-from testing.conftest import FAST
+from testing.clients import CallerAnswer, chat, open_stream, request
+from testing.conftest import SHORT_LEASES
 from testing.processes import (
     Deployment,
     NodeHandle,
@@ -224,7 +224,7 @@
     # Until its lease is over it may rely on what it knew. Others elect a leader
     # and accept a version sooner than that on most runs, so that it was woken
     # within the lease, and once showed the older version as fresh, rightly.
-    lease_ends_at = story.frozen_at + FAST["lease"]["lease_seconds"]
+    lease_ends_at = story.frozen_at + SHORT_LEASES["lease"]["lease_seconds"]
     time.sleep(max(lease_ends_at - time.monotonic(), 0.0))
     node = story.node(story.frozen)
     node.running.signal(signal.SIGCONT)
@@ -398,7 +398,7 @@
 def all_truthful(story: Story) -> None:
     assert len(story.answers) > 20
     for answer in story.answers:
-        assert isinstance(answer, Answered), answer
+        assert isinstance(answer, CallerAnswer), answer
         if answer.status == 200:
             assert len(answer.words) == 20
         else:
@@ -476,7 +476,7 @@
 
 @then("in the end its outcome is unknown")
 def ends_unknown(story: Story) -> None:
-    answered = [a for a in story.answers if isinstance(a, Answered)]
+    answered = [a for a in story.answers if isinstance(a, CallerAnswer)]
     assert answered[-1].status == 409
     assert answered[-1].outcome == "unknown"
 
--- a/testing/scenarios/test_platform.py
+++ b/testing/scenarios/test_platform.py
@@ -19,9 +19,9 @@
     made = PlatformDeployment(tmp_path)
     try:
         await made.start()
-        await made.put(make_document(3, "/x/"))
+        await made.put_configuration(make_document(3, "/x/"))
         for front in made.fronts:
-            await made.served(front, "/x/1")
+            await made.wait_until_served(front, "/x/1")
         yield made
     finally:
         made.stop()
@@ -30,14 +30,14 @@
 async def test_a_configuration_is_in_force_on_every_front(
     deployment: PlatformDeployment,
 ) -> None:
-    await deployment.put(make_document(7, "/x/", "/y/"))
+    await deployment.put_configuration(make_document(7, "/x/", "/y/"))
     await asyncio.sleep(1.0)
     for front in deployment.fronts:
-        assert (await deployment.ask(front, "/y/1")).status == 200
-    await deployment.put(make_document(8, "/y/"))
+        assert (await deployment.send_request(front, "/y/1")).status == 200
+    await deployment.put_configuration(make_document(8, "/y/"))
     await asyncio.sleep(1.0)
     for front in deployment.fronts:
-        assert (await deployment.ask(front, "/x/1")).status == 404
+        assert (await deployment.send_request(front, "/x/1")).status == 404
 
 
 async def test_clients_are_served_while_no_control_node_runs(
@@ -47,7 +47,7 @@
         vm.kill()
     for _ in range(10):
         for front in deployment.fronts:
-            assert (await deployment.ask(front, "/x/1")).status == 200
+            assert (await deployment.send_request(front, "/x/1")).status == 200
         await asyncio.sleep(0.1)
 
 
@@ -59,7 +59,7 @@
     for vm in deployment.vms:
         deployment.restart(vm)
     for front in deployment.fronts:
-        await deployment.served(front, "/x/1")
+        await deployment.wait_until_served(front, "/x/1")
     assert await deployment.read_version() == 3
 
 
@@ -70,11 +70,11 @@
     first.kill()
     first.wipe()
     deployment.restart(first)
-    await deployment.put(make_document(5, "/x/"))
+    await deployment.put_configuration(make_document(5, "/x/"))
     # The newcomer votes once it has caught up; then another may go.
     await asyncio.sleep(4.0)
     second.kill()
-    await deployment.put(make_document(6, "/x/", "/z/"))
+    await deployment.put_configuration(make_document(6, "/x/", "/z/"))
     assert await deployment.read_version() == 6
 
 
@@ -86,7 +86,7 @@
     ready = f"http://{front.ip}:{deployment._ports[1]}/ridgesill/ready"
     await asyncio.sleep(0.3)
     assert (await call("GET", ready)).status == 503
-    answer = await deployment.ask(front, "/x/1")
+    answer = await deployment.send_request(front, "/x/1")
     assert answer.status == 200
     assert answer.headers["connection"] == "close"
     assert front.process is not None
@@ -98,12 +98,12 @@
     deployment: PlatformDeployment,
 ) -> None:
     deployment.upstream.state = "draining"
-    while not await deployment.upstream.say():
+    while not await deployment.upstream.send_heartbeat():
         await asyncio.sleep(0.05)
     await asyncio.sleep(1.0)
     served = deployment.upstream.served
     for front in deployment.fronts:
-        answer = await deployment.ask(front, "/x/1")
+        answer = await deployment.send_request(front, "/x/1")
         assert answer.status == 503
         assert float(answer.headers["retry-after"]) > 0
     assert deployment.upstream.served == served
@@ -134,4 +134,4 @@
     for _ in range(20):
         front.signal(signal.SIGHUP)
         await asyncio.sleep(0.02)
-    await deployment.served(front, "/x/1")
+    await deployment.wait_until_served(front, "/x/1")
--- a/testing/soak/__main__.py
+++ b/testing/soak/__main__.py
@@ -70,7 +70,7 @@
     try:
         await world.until_served(_RECOVERY_SECONDS)
         await world.put_next(_RECOVERY_SECONDS)
-        version = await world.until(world.read_back, _RECOVERY_SECONDS)
+        version = await world.poll(world.read_back, _RECOVERY_SECONDS)
     except AssertionError as error:
         return f"not served again: {str(error)[:200]}"
     if version < world.acknowledged:
--- a/testing/soak/world.py
+++ b/testing/soak/world.py
@@ -239,7 +239,7 @@
         """Waits until every front serves every kind of request."""
         for number, vm in enumerate(self.fronts):
             for kind in ("safe", "unsafe", "stream"):
-                await self.until(
+                await self.poll(
                     lambda n=number, v=vm, k=kind: self._try_once(n, v, k),
                     seconds,
                 )
--- a/testing/test_build.py
+++ b/testing/test_build.py
@@ -10,7 +10,7 @@
 
 from bench.build import build
 from testing.clients import chat
-from testing.conftest import configure, make_small
+from testing.conftest import configure, make_small_deployment
 from testing.processes import Deployment, deployed, ridgesill
 
 pytestmark = [pytest.mark.process, pytest.mark.timeout(300)]
@@ -63,7 +63,7 @@
             "testing.processes.ridgesill",
             lambda *arguments: [str(program), *arguments],
         )
-        yield make_small(tmp_path)
+        yield make_small_deployment(tmp_path)
 
     def test_it_serves_and_starts_no_child(
         self, deployment: Deployment, tmp_path: Path
