--- a/src/ridgesill/__init__.py
+++ b/src/ridgesill/__init__.py
@@ -1,1 +1,1 @@
-"""A serving layer for very many LoRA adapters on runners with few slots."""
+"""Serves many LoRA adapters on runners that hold only a few at a time."""
--- a/src/ridgesill/app/forwarding.py
+++ b/src/ridgesill/app/forwarding.py
@@ -487,7 +487,7 @@
         if not responder.started:
             responder.send_head(
                 head.status,
-                self._front.dialect.answer_headers(head),
+                self._front.dialect.filter_answer_headers(head),
                 head.reason,
             )
         splitter = self._splitter
@@ -521,7 +521,7 @@
         responder = self._responder
         headers = [
             (name, value)
-            for name, value in self._front.dialect.answer_headers(head)
+            for name, value in self._front.dialect.filter_answer_headers(head)
             if name != b"content-length"
         ]
         headers.append((b"content-length", b"%d" % len(body)))
@@ -624,7 +624,7 @@
         self._end("refused", reason=refusal.reason)
 
     def _answer(self, status: int, after: float) -> None:
-        headers = self._front.dialect.retry_headers(after) if after else ()
+        headers = self._front.dialect.make_retry_headers(after) if after else ()
         self._responder.send_head(status, (*headers, (b"content-length", b"0")))
         self._responder.finish()
 
--- a/src/ridgesill/platform/__init__.py
+++ b/src/ridgesill/platform/__init__.py
@@ -1,5 +1,4 @@
-"""The users' platform: its names, formats and calls, translated both ways.
+"""Adapter to the platform: translates its names, formats and calls.
 
-Nothing here decides anything, and nothing outside this folder knows the names
-that stand on the wire.
+It holds no decisions, and no other package knows the platform's wire names.
 """
--- a/src/ridgesill/platform/configuration.py
+++ b/src/ridgesill/platform/configuration.py
@@ -1,4 +1,4 @@
-"""The operator's configuration document: routes, services and limits."""
+"""Decodes the operator's documents: configurations and adapter versions."""
 
 from typing import Any
 
@@ -21,23 +21,36 @@
     Target,
 )
 
-_KINDS = ("safe", "unsafe", "stream")
-_MILLISECONDS = 1000.0
-_UNITS = ("requests", "tokens")
-_KEY_MOST = 256
+_ROUTE_KINDS = ("safe", "unsafe", "stream")
+_MILLISECONDS_PER_SECOND = 1000.0
+_QUOTA_UNITS = ("requests", "tokens")
+_MAX_KEY_CHARACTERS = 256
 
 
 class InvalidConfigurationError(Exception):
-    """A document that must not come in force; says which part and why."""
+    """A document that is rejected as a whole.
 
-    def __init__(self, where: str, expected: str) -> None:
-        super().__init__(f"{where}: {expected}; nothing was changed")
-        self.where = where
+    Attributes:
+        location: the part of the document that is invalid.
+    """
+
+    def __init__(self, location: str, problem: str) -> None:
+        super().__init__(
+            f"{location}: {problem}; nothing was changed, correct the document "
+            "and send it again"
+        )
+        self.location = location
 
 
 @attrs.frozen
 class AdapterVersion:
-    """An operator's word that a new version of an adapter exists."""
+    """A new version of a model or adapter, announced by the operator.
+
+    Attributes:
+        model: name of the base model.
+        adapter: name of the adapter; empty if the model itself has changed.
+        version: the new version number.
+    """
 
     model: str
     adapter: str
@@ -45,39 +58,45 @@
 
 
 def decode_configuration(document: bytes) -> RouteTable:
-    """Returns the routes of a document.
+    """Decodes and validates a configuration document.
 
     Raises:
-        InvalidConfigurationError: it is not valid as a whole.
+        InvalidConfigurationError: any part of the document is invalid.
     """
     parsed = _parse(document)
-    version = _integer(parsed, "version", "the configuration")
-    services = [_service(item) for item in _list(parsed, "services")]
+    version = _get_integer(parsed, "version", "configuration")
+    services = [
+        _decode_service(item) for item in _get_objects(parsed, "services")
+    ]
     names = {service.name for service in services}
-    routes = [_route(item, names) for item in _list(parsed, "routes")]
-    _check_places(routes)
+    routes = [
+        _decode_route(item, names) for item in _get_objects(parsed, "routes")
+    ]
+    _check_unique_prefixes(routes)
     limits = parsed.get("limits")
     return RouteTable(
         version,
         routes,
         services,
-        _limits(limits) if limits else None,
-        _customers(parsed) if parsed.get("tenants") is not None else None,
+        _decode_limits(limits) if limits else None,
+        _decode_customers(parsed)
+        if parsed.get("tenants") is not None
+        else None,
     )
 
 
 def decode_adapter_version(document: bytes) -> AdapterVersion:
-    """Returns what names a new adapter version.
+    """Decodes the announcement of a new adapter version.
 
     Raises:
-        InvalidConfigurationError: a field is missing or wrong.
+        InvalidConfigurationError: a field is missing or invalid.
     """
     parsed = _parse(document)
-    where = "the adapter's version"
+    location = "adapter version"
     return AdapterVersion(
-        _text(parsed, "model", where),
+        _get_text(parsed, "model", location),
         str(parsed.get("adapter") or ""),
-        _integer(parsed, "version", where),
+        _get_integer(parsed, "version", location),
     )
 
 
@@ -85,15 +104,15 @@
     try:
         parsed = msgspec.json.decode(document)
     except msgspec.DecodeError as error:
-        raise InvalidConfigurationError("the body", f"not JSON: {error}") from (
+        raise InvalidConfigurationError("body", f"not JSON: {error}") from (
             error
         )
     if not isinstance(parsed, dict):
-        raise InvalidConfigurationError("the body", "not a JSON object")
+        raise InvalidConfigurationError("body", "not a JSON object")
     return parsed
 
 
-def _list(parsed: dict[str, Any], field: str) -> list[dict[str, Any]]:
+def _get_objects(parsed: dict[str, Any], field: str) -> list[dict[str, Any]]:
     items = parsed.get(field)
     if not isinstance(items, list) or not all(
         isinstance(item, dict) for item in items
@@ -102,201 +121,221 @@
     return items
 
 
-def _text(item: dict[str, Any], field: str, where: str) -> str:
+def _get_text(item: dict[str, Any], field: str, location: str) -> str:
     value = item.get(field)
     if not isinstance(value, str) or not value:
-        raise InvalidConfigurationError(f"{where}: {field}", "not a text")
+        raise InvalidConfigurationError(
+            f"{location}: {field}", "not a non-empty string"
+        )
     return value
 
 
-def _integer(item: dict[str, Any], field: str, where: str) -> int:
+def _get_integer(item: dict[str, Any], field: str, location: str) -> int:
     value = item.get(field)
     if not isinstance(value, int) or isinstance(value, bool) or value < 0:
         raise InvalidConfigurationError(
-            f"{where}: {field}", "not a whole number"
+            f"{location}: {field}", "not an integer of 0 or more"
         )
     return value
 
 
-def _number(item: dict[str, Any], field: str, default: float = 0.0) -> float:
+def _get_number(
+    item: dict[str, Any], field: str, default: float = 0.0
+) -> float:
     value = item.get(field, default)
     if isinstance(value, bool) or not isinstance(value, int | float):
         raise InvalidConfigurationError(field, "not a number")
     return float(value)
 
 
-def _route(item: dict[str, Any], services: set[str]) -> Route:
-    name = _text(item, "name", "a route")
-    where = f"route {name}"
-    kind = _text(item, "kind", where)
-    if kind not in _KINDS:
+def _decode_route(item: dict[str, Any], services: set[str]) -> Route:
+    name = _get_text(item, "name", "route")
+    location = f"route {name}"
+    kind = _get_text(item, "kind", location)
+    if kind not in _ROUTE_KINDS:
         raise InvalidConfigurationError(
-            f"{where}: kind", f"not one of {', '.join(_KINDS)}"
+            f"{location}: kind", f"not one of {', '.join(_ROUTE_KINDS)}"
         )
-    timeout = _number(item, "timeout_ms") / _MILLISECONDS
+    timeout = _get_number(item, "timeout_ms") / _MILLISECONDS_PER_SECOND
     if timeout <= 0:
-        raise InvalidConfigurationError(f"{where}: timeout_ms", "not above 0")
+        raise InvalidConfigurationError(
+            f"{location}: timeout_ms", "not greater than 0"
+        )
     return Route(
         name=name,
-        host=_text(item, "host", where),
-        prefix=_text(item, "prefix", where),
+        host=_get_text(item, "host", location),
+        prefix=_get_text(item, "prefix", location),
         kind=kind,
         timeout=timeout,
-        goal=_number(item, "goal_ms") / _MILLISECONDS,
-        priority=int(_number(item, "priority")),
-        targets=_targets(item, where, services),
-        attempts=max(int(_number(item, "attempts", 1)), 1),
+        goal=_get_number(item, "goal_ms") / _MILLISECONDS_PER_SECOND,
+        priority=int(_get_number(item, "priority")),
+        targets=_decode_targets(item, location, services),
+        attempts=max(int(_get_number(item, "attempts", 1)), 1),
         affinity=bool(item.get("session_affinity", False)),
         resumable=bool(item.get("resumable", False)),
-        pause_goal=_number(item, "gap_target_ms") / _MILLISECONDS,
+        pause_goal=_get_number(item, "gap_target_ms")
+        / _MILLISECONDS_PER_SECOND,
         is_public=bool(item.get("public", False)),
     )
 
 
-def _targets(
-    item: dict[str, Any], where: str, services: set[str]
+def _decode_targets(
+    item: dict[str, Any], location: str, services: set[str]
 ) -> tuple[Target, ...]:
     split = item.get("split")
     if split:
         targets = tuple(
             Target(
-                _text(part, "service", where), _integer(part, "weight", where)
+                _get_text(part, "service", location),
+                _get_integer(part, "weight", location),
             )
-            for part in _list(item, "split")
+            for part in _get_objects(item, "split")
         )
     else:
-        targets = (Target(_text(item, "service", where)),)
+        targets = (Target(_get_text(item, "service", location)),)
     for target in targets:
         if target.service not in services:
             raise InvalidConfigurationError(
-                where, f"unknown service {target.service!r}"
+                location, f"unknown service {target.service!r}"
             )
     if sum(target.weight for target in targets) <= 0:
-        raise InvalidConfigurationError(where, "its weights add up to 0")
+        raise InvalidConfigurationError(location, "the weights add up to 0")
     return targets
 
 
-def _check_places(routes: list[Route]) -> None:
-    places: dict[tuple[str, str], str] = {}
+def _check_unique_prefixes(routes: list[Route]) -> None:
+    names_by_prefix: dict[tuple[str, str], str] = {}
     for route in routes:
-        place = (route.host.lower(), route.prefix)
-        if place in places:
+        host_and_prefix = (route.host.lower(), route.prefix)
+        if host_and_prefix in names_by_prefix:
             raise InvalidConfigurationError(
                 f"route {route.name}",
-                f"same host and prefix as route {places[place]}",
+                "same host and prefix as route "
+                f"{names_by_prefix[host_and_prefix]}",
             )
-        places[place] = route.name
+        names_by_prefix[host_and_prefix] = route.name
 
 
-def _service(item: dict[str, Any]) -> Service:
-    name = _text(item, "name", "a service")
+def _decode_service(item: dict[str, Any]) -> Service:
+    name = _get_text(item, "name", "service")
     engine = item.get("engine")
     return Service(
         name=name,
         health_path=str(item.get("health_path") or "/"),
-        connections=int(_number(item, "connection_limit")),
-        engine=_engine(engine) if isinstance(engine, dict) else None,
+        connections=int(_get_number(item, "connection_limit")),
+        engine=_decode_engine(engine) if isinstance(engine, dict) else None,
     )
 
 
-def _engine(item: dict[str, Any]) -> EngineSpec:
+def _decode_engine(item: dict[str, Any]) -> EngineSpec:
     models = tuple(
         Model(
-            name=_text(model, "name", "a model"),
-            weights_mb=_number(model, "weights_mb"),
-            load_seconds=_number(model, "load_time_s"),
-            adapters=int(_number(model, "adapters")),
-            adapter_mb=_number(model, "adapter_mb"),
+            name=_get_text(model, "name", "model"),
+            weights_mb=_get_number(model, "weights_mb"),
+            load_seconds=_get_number(model, "load_time_s"),
+            adapters=int(_get_number(model, "adapters")),
+            adapter_mb=_get_number(model, "adapter_mb"),
         )
-        for model in _list(item, "models")
+        for model in _get_objects(item, "models")
     )
     return EngineSpec(
-        slots=int(_number(item, "slots")),
-        weights_mb=_number(item, "weights_mb"),
-        adapter_slots=int(_number(item, "adapter_slots")),
-        loads_per_second=_number(item, "loads_per_s"),
+        slots=int(_get_number(item, "slots")),
+        weights_mb=_get_number(item, "weights_mb"),
+        adapter_slots=int(_get_number(item, "adapter_slots")),
+        loads_per_second=_get_number(item, "loads_per_s"),
         models=models,
     )
 
 
-def _customers(parsed: dict[str, Any]) -> Customers:
+def _decode_customers(parsed: dict[str, Any]) -> Customers:
     customers: dict[str, Customer] = {}
     holders: dict[bytes, Customer] = {}
-    for item in _list(parsed, "tenants"):
-        customer = _customer(item)
-        where = f"tenant {customer.name}"
+    for item in _get_objects(parsed, "tenants"):
+        customer = _decode_customer(item)
+        location = f"tenant {customer.name}"
         if customer.name in customers:
-            raise InvalidConfigurationError(where, "named twice")
+            raise InvalidConfigurationError(location, "defined twice")
         customers[customer.name] = customer
-        for digest in _key_digests(item, where):
+        for digest in _decode_key_digests(item, location):
             holder = holders.setdefault(digest, customer)
             if holder is not customer:
                 raise InvalidConfigurationError(
-                    f"{where}: api_keys", f"tenant {holder.name} has one too"
+                    f"{location}: api_keys",
+                    f"tenant {holder.name} has one of these keys too",
                 )
     return Customers(tuple(customers.values()), holders)
 
 
-def _customer(item: dict[str, Any]) -> Customer:
-    name = _text(item, "name", "a tenant")
+def _decode_customer(item: dict[str, Any]) -> Customer:
+    name = _get_text(item, "name", "tenant")
     if not (name.isascii() and name.isprintable()):
         raise InvalidConfigurationError(
             f"tenant {name!r}: name", "not printable ASCII"
         )
     priority = item.get("priority")
     if priority is not None:
-        priority = _integer(item, "priority", f"tenant {name}")
-    return Customer(name, priority, _quota(item, f"tenant {name}"))
+        priority = _get_integer(item, "priority", f"tenant {name}")
+    return Customer(name, priority, _decode_quota(item, f"tenant {name}"))
+
 
+def _decode_key_digests(item: dict[str, Any], location: str) -> list[bytes]:
+    """Returns the digests of a tenant's keys.
 
-def _key_digests(item: dict[str, Any], where: str) -> list[bytes]:
-    """Returns the digests of a tenant's keys; no error shows a key."""
+    Error messages never contain a key.
+    """
     keys = item.get("api_keys", [])
     if not isinstance(keys, list):
-        raise InvalidConfigurationError(f"{where}: api_keys", "not a list")
-    if not all(_is_key(key) for key in keys):
+        raise InvalidConfigurationError(f"{location}: api_keys", "not a list")
+    if not all(_is_valid_key(key) for key in keys):
         raise InvalidConfigurationError(
-            f"{where}: api_keys",
-            f"not all are texts of 1 to {_KEY_MOST} visible ASCII characters",
+            f"{location}: api_keys",
+            "not all keys are strings of 1 to "
+            f"{_MAX_KEY_CHARACTERS} visible ASCII characters",
         )
     return [digest_key(key.encode()) for key in keys]
 
 
-def _is_key(key: Any) -> bool:
+def _is_valid_key(key: Any) -> bool:
     return (
         isinstance(key, str)
-        and 0 < len(key) <= _KEY_MOST
+        and 0 < len(key) <= _MAX_KEY_CHARACTERS
         and key.isascii()
         and key.isprintable()
         and " " not in key
     )
 
 
-def _quota(item: dict[str, Any], where: str) -> Quota | None:
-    rate = _number(item, "rate_per_s")
-    burst = _number(item, "burst")
+def _decode_quota(item: dict[str, Any], location: str) -> Quota | None:
+    rate = _get_number(item, "rate_per_s")
+    burst = _get_number(item, "burst")
     if min(rate, burst) < 0:
         raise InvalidConfigurationError(
-            f"{where}: rate_per_s and burst", "not 0 or above"
+            f"{location}: rate_per_s and burst", "not 0 or more"
         )
-    unit = item.get("unit") or _UNITS[0]
-    if unit not in _UNITS:
+    unit = item.get("unit") or _QUOTA_UNITS[0]
+    if unit not in _QUOTA_UNITS:
         raise InvalidConfigurationError(
-            f"{where}: unit", f"not one of {', '.join(_UNITS)}"
+            f"{location}: unit", f"not one of {', '.join(_QUOTA_UNITS)}"
         )
     if not rate:
         return None
-    plain_tokens = int(_number(item, "plain_tokens"))
+    plain_tokens = int(_get_number(item, "plain_tokens"))
     return Quota(rate, burst, unit == "tokens", plain_tokens)
 
 
-def _limits(item: dict[str, Any]) -> ClientLimits:
-    usual = ClientLimits()
-    header_ms = _number(item, "header_ms", usual.header_seconds * _MILLISECONDS)
-    idle_ms = _number(item, "idle_ms", usual.idle_seconds * _MILLISECONDS)
+def _decode_limits(item: dict[str, Any]) -> ClientLimits:
+    defaults = ClientLimits()
+    header_ms = _get_number(
+        item, "header_ms", defaults.header_seconds * _MILLISECONDS_PER_SECOND
+    )
+    idle_ms = _get_number(
+        item, "idle_ms", defaults.idle_seconds * _MILLISECONDS_PER_SECOND
+    )
     return ClientLimits(
-        header_bytes=int(_number(item, "header_bytes", usual.header_bytes)),
-        body_bytes=int(_number(item, "body_bytes", usual.body_bytes)),
-        header_seconds=header_ms / _MILLISECONDS,
-        idle_seconds=idle_ms / _MILLISECONDS,
+        header_bytes=int(
+            _get_number(item, "header_bytes", defaults.header_bytes)
+        ),
+        body_bytes=int(_get_number(item, "body_bytes", defaults.body_bytes)),
+        header_seconds=header_ms / _MILLISECONDS_PER_SECOND,
+        idle_seconds=idle_ms / _MILLISECONDS_PER_SECOND,
     )
--- a/src/ridgesill/platform/control_calls.py
+++ b/src/ridgesill/platform/control_calls.py
@@ -1,4 +1,4 @@
-"""Calls of upstreams and the operator, by path."""
+"""Decodes the HTTP calls that upstreams and the operator make to control."""
 
 import msgspec
 
@@ -28,11 +28,11 @@
 )
 from ridgesill.ports.http import HttpRequest
 
-_HEARTBEAT = "/ridgesill/Instances.Heartbeat/"
-_LEAVE = "/ridgesill/Instances.Leave/"
-_PUT = "/ridgesill/Configuration.Put"
-_GET = "/ridgesill/Configuration.Get"
-_VERSION = "/ridgesill/version-put"
+_HEARTBEAT_PATH = "/ridgesill/Instances.Heartbeat/"
+_LEAVE_PATH = "/ridgesill/Instances.Leave/"
+_PUT_CONFIGURATION_PATH = "/ridgesill/Configuration.Put"
+_GET_CONFIGURATION_PATH = "/ridgesill/Configuration.Get"
+_PUT_VERSION_PATH = "/ridgesill/version-put"
 QUARANTINE_PATH = "/ridgesill/Quarantine.List"
 LIFT_PATH = "/ridgesill/Quarantine.Lift/"
 QUOTAS_PATH = "/ridgesill/Quotas.List"
@@ -44,9 +44,9 @@
     """Implements `ports.control_calls.ControlCalls`."""
 
     def read(self, request: HttpRequest) -> object:
-        """Returns the call that a request makes."""
+        """Decodes a request; an invalid one becomes a `BadCall`."""
         path = request.path
-        if path == _GET:
+        if path == _GET_CONFIGURATION_PATH:
             return ReadRoutesCall()
         if path == QUARANTINE_PATH:
             return ListQuarantineCall()
@@ -55,38 +55,38 @@
         if path == LIMITS_PATH:
             return ListLimitsCall()
         if request.method != b"POST":
-            return BadCall(405, "expected POST")
+            return BadCall(405, "method not allowed: send a POST request")
         try:
             return self._read_post(path, request.body)
         except (InvalidConfigurationError, MalformedError) as error:
             return BadCall(400, str(error))
 
     def _read_post(self, path: str, body: bytes) -> object:
-        if path.startswith(_HEARTBEAT):
-            identifier = read_identifier(path[len(_HEARTBEAT) :])
+        if path.startswith(_HEARTBEAT_PATH):
+            identifier = read_identifier(path[len(_HEARTBEAT_PATH) :])
             return HeartbeatCall(read_heartbeat(identifier, body))
-        if path.startswith(_LEAVE):
-            identifier = read_identifier(path[len(_LEAVE) :])
+        if path.startswith(_LEAVE_PATH):
+            identifier = read_identifier(path[len(_LEAVE_PATH) :])
             return LeaveCall(identifier, read_leave(body))
-        if path == _PUT:
+        if path == _PUT_CONFIGURATION_PATH:
             table = decode_configuration(body)
             return PutRoutesCall(table.version, body)
-        if path == _VERSION:
-            named = decode_adapter_version(body)
-            artifact = named.model
-            if named.adapter:
-                artifact = f"{named.model}/{named.adapter}"
-            return PutVersionCall(artifact, named.version)
+        if path == _PUT_VERSION_PATH:
+            announced = decode_adapter_version(body)
+            artifact = announced.model
+            if announced.adapter:
+                artifact = f"{announced.model}/{announced.adapter}"
+            return PutVersionCall(artifact, announced.version)
         if path.startswith(LIFT_PATH):
             return LiftQuarantineCall(path[len(LIFT_PATH) :])
-        return BadCall(404, f"no such call: {path}")
+        return BadCall(404, f"unknown path, check the call: {path}")
 
     def write(self, reply: CallReply) -> tuple[int, bytes]:
-        """Returns status and JSON body of an answer."""
+        """Encodes a reply as its HTTP status and JSON body."""
         if reply.document:
             return reply.status, reply.document
         if reply.next_address:
-            said = {"heartbeat_address": reply.next_address}
-            return reply.status, msgspec.json.encode(said)
-        said = {"detail": reply.detail} if reply.detail else {}
-        return reply.status, msgspec.json.encode(said)
+            document = {"heartbeat_address": reply.next_address}
+            return reply.status, msgspec.json.encode(document)
+        document = {"detail": reply.detail} if reply.detail else {}
+        return reply.status, msgspec.json.encode(document)
--- a/src/ridgesill/platform/known_fields.py
+++ b/src/ridgesill/platform/known_fields.py
@@ -1,13 +1,13 @@
-"""The words by which upstreams speak of themselves, and unknown ones.
+"""Known header and field names of upstreams; finds unknown ones.
 
-`docs/reference/upstream-words.md` says of each where it is kept.
+`docs/reference/upstream-words.md` says for each name where its value is used.
 """
 
 from ridgesill.ports.http import ResponseHead
 
-# Headers of answers in which upstreams speak of themselves begin so.
-_FAMILY = b"server-"
-HEADERS = frozenset((b"server-stamp", b"server-leaving", b"server-limit"))
+# Prefix of the answer headers that describe the upstream itself.
+_UPSTREAM_HEADER_PREFIX = b"server-"
+KNOWN_HEADERS = frozenset((b"server-stamp", b"server-leaving", b"server-limit"))
 HEARTBEAT_FIELDS = frozenset(
     (
         "service",
@@ -47,15 +47,16 @@
         "born",
     )
 )
-# Of a word that nobody knows, for the log, in characters.
-_SHOWN_MOST = 40
+# Unknown names are truncated to this length in the log.
+_MAX_NAME_CHARACTERS = 40
 
 
 def find_unknown_headers(head: ResponseHead) -> tuple[str, ...]:
-    """Returns the words of an answer that nothing here reads."""
+    """Returns the names of an answer's `server-` headers that are not known."""
     unknown = [
-        name.decode("latin-1")[:_SHOWN_MOST]
+        name.decode("latin-1")[:_MAX_NAME_CHARACTERS]
         for name, _ in head.headers
-        if name.startswith(_FAMILY) and name not in HEADERS
+        if name.startswith(_UPSTREAM_HEADER_PREFIX)
+        and name not in KNOWN_HEADERS
     ]
     return tuple(unknown)
--- a/src/ridgesill/platform/requests.py
+++ b/src/ridgesill/platform/requests.py
@@ -1,4 +1,4 @@
-"""Clients' requests and upstreams' answers, as the platform words them."""
+"""Translates the HTTP headers of clients' requests and upstreams' answers."""
 
 import re
 
@@ -20,139 +20,166 @@
     find_header,
 )
 
-_REQUEST_ID = b"request-id"
-_MODEL = b"model"
-_TOKENS = b"token-counts"
-_PARTS = b"prompt-prefix"
-# Milliseconds that the sender will still wait.
-_DEADLINE = b"request-deadline"
-_LAST_EVENT = b"last-event-id"
-# The upstream's incarnation that is meant; any other answers 421.
-_INSTANCE = b"expect-instance"
-# Who answered, where that is another one.
-_INSTANCE_ID = b"instance-id"
-# Of the adapter, where the request names one.
-_VERSION = b"expect-version"
-# From 0, which goes first, to 9; 5 without it.
-_PRIORITY = b"request-priority"
-_NOT_RUN = b"not-run"
-# The caller's key, which no upstream gets.
-_KEY = b"credential"
-# Whose request it is, in this side's words only.
-_CUSTOMER = b"tenant"
-_RETRY_AFTER = b"retry-after"
-# Requests a second that an upstream takes from all callers together.
-_LIMIT = b"server-limit"
+_REQUEST_ID_HEADER = b"request-id"
+_MODEL_HEADER = b"model"
+_TOKEN_COUNTS_HEADER = b"token-counts"
+_PROMPT_PARTS_HEADER = b"prompt-prefix"
+# Milliseconds that the sender will still wait for the answer.
+_DEADLINE_HEADER = b"request-deadline"
+_LAST_EVENT_HEADER = b"last-event-id"
+# The instance that the request is meant for; any other one answers 421.
+_EXPECTED_INSTANCE_HEADER = b"expect-instance"
+# The instance that sent a 421 answer.
+_ANSWERING_INSTANCE_HEADER = b"instance-id"
+# The adapter version that the request requires.
+_EXPECTED_VERSION_HEADER = b"expect-version"
+# 0 (scheduled first) to 9; 5 if the header is missing.
+_PRIORITY_HEADER = b"request-priority"
+_NOT_RUN_HEADER = b"not-run"
+# The caller's API key; never forwarded to an upstream.
+_KEY_HEADER = b"credential"
+# The customer that the request belongs to; set by fronts only.
+_CUSTOMER_HEADER = b"tenant"
+_RETRY_AFTER_HEADER = b"retry-after"
+# Requests per second that an upstream accepts from all fronts together.
+_LIMIT_HEADER = b"server-limit"
 _MISDIRECTED = 421
 _UNAVAILABLE = 503
-# Seconds, whole or with a fraction, of as many digits as programs write for
-# one; dates and signs are not on the pages.
-_SECONDS = re.compile(r"[0-9]{1,8}(\.[0-9]{1,20})?", re.ASCII)
-# The longest rest that is granted, in seconds: an upstream that asks for more
-# by a slip would be out of use for that long, and one that means it says so
-# again to the next request.
-_REST_MOST = 60.0
-# The lowest limit that is kept, in requests a second.
-_LIMIT_LEAST = 0.5
-# Of what an upstream asked for and can't be granted, for the log.
-_SHOWN_MOST = 40
-# Of a number that a client gives: milliseconds and tokens have far fewer.
-_DIGITS_MOST = 8
-# What only this side may ask of an upstream; a client that could would set
-# memory and places aside there, or go on from another client's run.
-_RESERVED = frozenset(
+# An unsigned decimal number; 20 fraction digits cover what programs print for
+# a double. Dates and signs are invalid in the headers that are parsed with it.
+_DECIMAL_NUMBER = re.compile(r"[0-9]{1,8}(\.[0-9]{1,20})?", re.ASCII)
+# Longer Retry-After values of upstreams are cut to this: a mistaken value would
+# keep the upstream out of use for that long, and an upstream that needs more
+# can repeat the header in its answer to the next request.
+_MAX_REST_SECONDS = 60.0
+# Lower limits of upstreams are raised to this: with no request sent, no answer
+# could lift the limit again.
+_MIN_LIMIT_REQUESTS_PER_SECOND = 0.5
+# Rejected header values of upstreams are truncated to this length in the log.
+_MAX_LOGGED_CHARACTERS = 40
+# Longer numbers of clients count as 0; valid milliseconds and token counts have
+# far fewer digits.
+_MAX_DIGITS = 8
+# Headers that only fronts may send to an upstream. Clients' are dropped: with
+# them a client could reserve memory and slots of an upstream, or resume another
+# client's run.
+_RESERVED_HEADERS = frozenset(
     (
-        _DEADLINE,
-        _INSTANCE,
-        _VERSION,
-        _LAST_EVENT,
-        _PRIORITY,
-        _KEY,
-        _CUSTOMER,
-        # A place and memory that were set aside.
+        _DEADLINE_HEADER,
+        _EXPECTED_INSTANCE_HEADER,
+        _EXPECTED_VERSION_HEADER,
+        _LAST_EVENT_HEADER,
+        _PRIORITY_HEADER,
+        _KEY_HEADER,
+        _CUSTOMER_HEADER,
+        # Uses a slot and memory that were reserved before.
         b"hold",
-        # Keeps the memory of a run after its end.
+        # Keeps a run's memory after the run has ended.
         b"pin-duration",
-        # Where a copy of a run's memory is sent as it grows.
+        # The target to which a run's KV cache is copied as it grows.
         b"kv-backup",
-        # The copy that a run goes on from.
+        # The KV cache copy from which a run is resumed.
         b"kv-from",
-        # An upstream to take parts of a prompt from.
+        # The upstream from which KV cache of prompt parts is fetched.
         b"kv-fetch",
     )
 )
-_LENGTH = b"content-length"
-# What a request is. A client that lists one of these as concerning its channel
-# only would have another request run.
-_IDENTITY = frozenset((_REQUEST_ID, _MODEL, _TOKENS, _PARTS, b"host"))
+_CONTENT_LENGTH_HEADER = b"content-length"
+# Headers that determine what is run. They are forwarded even if the client's
+# Connection header lists them; dropping them would run a different request.
+_IDENTITY_HEADERS = frozenset(
+    (
+        _REQUEST_ID_HEADER,
+        _MODEL_HEADER,
+        _TOKEN_COUNTS_HEADER,
+        _PROMPT_PARTS_HEADER,
+        b"host",
+    )
+)
 
 
 class PlatformDialect:
     """Implements `ports.dialect.Dialect`."""
 
     def read_request(self, request: HttpRequest) -> RequestFacts:
-        """Returns what a client says of its request."""
+        """Extracts the facts of a client's request from its headers."""
         headers = request.headers
-        model, _, adapter = find_header(headers, _MODEL).partition("/")
-        prompt, answer = _counts(find_header(headers, _TOKENS))
+        model, _, adapter = find_header(headers, _MODEL_HEADER).partition("/")
+        prompt, answer = _parse_token_counts(
+            find_header(headers, _TOKEN_COUNTS_HEADER)
+        )
         return RequestFacts(
-            request=find_header(headers, _REQUEST_ID),
+            request=find_header(headers, _REQUEST_ID_HEADER),
             host=find_header(headers, b"host"),
             model=model,
             adapter=adapter,
             prompt_tokens=prompt,
             answer_tokens=answer,
-            parts=_parts(find_header(headers, _PARTS)),
-            patience=_whole(find_header(headers, _DEADLINE)) / 1000,
-            last_event=find_header(headers, _LAST_EVENT),
-            key_digest=_key_digest(headers),
+            parts=_parse_prompt_parts(
+                find_header(headers, _PROMPT_PARTS_HEADER)
+            ),
+            patience=_parse_whole_number(find_header(headers, _DEADLINE_HEADER))
+            / 1000,
+            last_event=find_header(headers, _LAST_EVENT_HEADER),
+            key_digest=_compute_key_digest(headers),
         )
 
     def write_upstream_request(
-        self, request: HttpRequest, terms: ForwardOptions
+        self, request: HttpRequest, options: ForwardOptions
     ) -> HttpRequest:
-        """Returns the request as it goes to an upstream."""
-        kept = [
+        """Builds the request that is forwarded to an upstream.
+
+        Drops the client's hop-by-hop and reserved headers, and sets the
+        reserved headers that `options` asks for.
+        """
+        headers = [
             (name, value)
             for name, value in drop_hop_by_hop_headers(
-                request.headers, keep=_IDENTITY
+                request.headers, keep=_IDENTITY_HEADERS
             )
-            if name not in _RESERVED and name != _LENGTH
+            if name not in _RESERVED_HEADERS and name != _CONTENT_LENGTH_HEADER
         ]
         if request.body or request.method in (b"POST", b"PUT", b"PATCH"):
-            kept.append((b"content-length", b"%d" % len(request.body)))
-        milliseconds = max(int(terms.seconds_left * 1000), 1)
-        kept.append((_DEADLINE, b"%d" % milliseconds))
-        kept.append((_INSTANCE, read_instance(terms.upstream).encode()))
-        if terms.version:
-            kept.append((_VERSION, b"%d" % terms.version))
-        if terms.priority != NORMAL_PRIORITY:
-            kept.append((_PRIORITY, b"%d" % terms.priority))
-        if terms.customer:
-            kept.append((_CUSTOMER, terms.customer.encode()))
-        if terms.last_event:
-            kept.append((_LAST_EVENT, terms.last_event.encode()))
+            headers.append((b"content-length", b"%d" % len(request.body)))
+        milliseconds = max(int(options.seconds_left * 1000), 1)
+        headers.append((_DEADLINE_HEADER, b"%d" % milliseconds))
+        headers.append(
+            (
+                _EXPECTED_INSTANCE_HEADER,
+                read_instance(options.upstream).encode(),
+            )
+        )
+        if options.version:
+            headers.append((_EXPECTED_VERSION_HEADER, b"%d" % options.version))
+        if options.priority != NORMAL_PRIORITY:
+            headers.append((_PRIORITY_HEADER, b"%d" % options.priority))
+        if options.customer:
+            headers.append((_CUSTOMER_HEADER, options.customer.encode()))
+        if options.last_event:
+            headers.append((_LAST_EVENT_HEADER, options.last_event.encode()))
         return HttpRequest(
-            request.method, request.target, tuple(kept), request.body
+            request.method, request.target, tuple(headers), request.body
         )
 
     def is_not_run(self, head: ResponseHead) -> bool:
-        """Whether an upstream says that it has not run a request."""
+        """Whether an answer says that the request was not run."""
         return head.status == _MISDIRECTED or bool(
-            find_header(head.headers, _NOT_RUN)
+            find_header(head.headers, _NOT_RUN_HEADER)
         )
 
     def is_misdirected(self, head: ResponseHead) -> bool:
-        """Whether an upstream lacks what a request asks for."""
+        """Whether the upstream is another instance or lacks the artifact."""
         return head.status == _MISDIRECTED
 
     def read_upstream_word(self, head: ResponseHead) -> UpstreamWord:
-        """Returns what an upstream says of itself beside its answer."""
+        """Returns what an answer's headers say about the upstream itself."""
         limit, unread_limit = _read_limit(head)
         instance = ""
         rest, unread = 0.0, ""
         if head.status == _MISDIRECTED:
-            instance = find_header(head.headers, _INSTANCE_ID).strip()
+            instance = find_header(
+                head.headers, _ANSWERING_INSTANCE_HEADER
+            ).strip()
         elif head.status == _UNAVAILABLE:
             rest, unread = _read_rest(head)
         leaves = is_leaving(head)
@@ -163,79 +190,97 @@
         return UpstreamWord(rest, leaves, unread, instance, limit, unread_limit)
 
     def find_unknown_headers(self, head: ResponseHead) -> tuple[str, ...]:
-        """Returns the words of an upstream that nothing here reads."""
+        """Returns the names of an upstream's headers that are not known."""
         return find_unknown_headers(head)
 
-    def answer_headers(self, head: ResponseHead) -> Headers:
-        """Returns the headers of an answer that the client gets."""
+    def filter_answer_headers(self, head: ResponseHead) -> Headers:
+        """Returns the headers of an answer that are passed to the client."""
         return drop_hop_by_hop_headers(head.headers)
 
-    def retry_headers(self, after: float) -> Headers:
-        """Returns headers that tell a client when to come back."""
-        return ((_RETRY_AFTER, b"%.2f" % after),)
+    def make_retry_headers(self, after: float) -> Headers:
+        """Returns the headers that tell a client when to retry.
+
+        Args:
+            after: seconds from now.
+        """
+        return ((_RETRY_AFTER_HEADER, b"%.2f" % after),)
 
 
 def _read_rest(head: ResponseHead) -> tuple[float, str]:
-    """Returns the rest that is granted, and what was asked for beyond it."""
-    asked = find_header(head.headers, _RETRY_AFTER).strip()
-    if not asked:
+    """Reads for how long an upstream wants no requests (Retry-After).
+
+    Returns:
+        Seconds, at most `_MAX_REST_SECONDS`, and the header's value if it is
+        invalid or too large; the value is empty otherwise.
+    """
+    requested = find_header(head.headers, _RETRY_AFTER_HEADER).strip()
+    if not requested:
         return 0.0, ""
-    seconds = float(asked) if _SECONDS.fullmatch(asked) else -1.0
-    granted = 0.0 <= seconds <= _REST_MOST
-    unread = "" if granted else asked[:_SHOWN_MOST]
-    return min(max(seconds, 0.0), _REST_MOST), unread
+    seconds = float(requested) if _DECIMAL_NUMBER.fullmatch(requested) else -1.0
+    granted = 0.0 <= seconds <= _MAX_REST_SECONDS
+    unread = "" if granted else requested[:_MAX_LOGGED_CHARACTERS]
+    return min(max(seconds, 0.0), _MAX_REST_SECONDS), unread
 
 
 def _read_limit(head: ResponseHead) -> tuple[float | None, str]:
-    """Returns the limit that is kept, and what was named beside or beyond it.
+    """Reads the request rate limit that an upstream asks for.
+
+    The lowest of several valid limits applies, but at least
+    `_MIN_LIMIT_REQUESTS_PER_SECOND`: an upstream that gets no requests sends
+    no answer that could lift its limit.
 
-    Of several the lowest is kept, and none is so low that nothing would be
-    sent: no answer could then take it back.
+    Returns:
+        Requests per second, or None without a valid limit, and a value that is
+        invalid or too low; the value is empty if there is none.
     """
-    named = [value.strip() for name, value in head.headers if name == _LIMIT]
+    values = [
+        value.strip() for name, value in head.headers if name == _LIMIT_HEADER
+    ]
     limits = []
     unread = ""
-    for value in named:
+    for value in values:
         text = value.decode("latin-1")
-        if _SECONDS.fullmatch(text):
+        if _DECIMAL_NUMBER.fullmatch(text):
             limits.append(float(text))
         else:
-            unread = text[:_SHOWN_MOST] or "nothing"
+            unread = text[:_MAX_LOGGED_CHARACTERS] or "nothing"
     if not limits:
         return None, unread
     limit = min(limits)
-    kept = max(limit, _LIMIT_LEAST)
-    return kept, unread or ("" if kept == limit else f"{limit:g}")
+    granted = max(limit, _MIN_LIMIT_REQUESTS_PER_SECOND)
+    return granted, unread or ("" if granted == limit else f"{limit:g}")
 
 
-def _whole(text: str) -> int:
-    """Returns a whole number that a client gives; 0 for what is none.
+def _parse_whole_number(text: str) -> int:
+    """Parses a whole number of a client; returns 0 if it is invalid.
 
-    Digits beyond the ten, and numbers too long to reckon with, would end the
-    request with a fault of our own.
+    Digits such as superscripts, and very long numbers, would raise in `int` and
+    end the request with an internal error.
     """
-    is_number = text.isdecimal() and len(text) <= _DIGITS_MOST
+    is_number = text.isdecimal() and len(text) <= _MAX_DIGITS
     return int(text) if is_number else 0
 
 
-def _key_digest(headers: Headers) -> bytes:
-    """Returns the digest of a caller's key; empty for none or several."""
-    keys = [value.strip() for name, value in headers if name == _KEY]
+def _compute_key_digest(headers: Headers) -> bytes:
+    """Returns the digest of a caller's key; empty without exactly one key."""
+    keys = [value.strip() for name, value in headers if name == _KEY_HEADER]
     if len(keys) != 1 or not keys[0]:
         return b""
     return digest_key(keys[0])
 
 
-def _counts(text: str) -> tuple[int, int]:
+def _parse_token_counts(text: str) -> tuple[int, int]:
     prompt, _, answer = text.partition(",")
-    return _whole(prompt.strip()), _whole(answer.strip())
+    return _parse_whole_number(prompt.strip()), _parse_whole_number(
+        answer.strip()
+    )
 
 
-def _parts(text: str) -> tuple[tuple[str, int], ...]:
-    """Returns the prompt's parts from `ID:TOKENS, ...`."""
+def _parse_prompt_parts(text: str) -> tuple[tuple[str, int], ...]:
+    """Parses `ID:TOKENS, ...` into the parts of a prompt."""
     parts = []
     for item in text.split(","):
         name, _, tokens = item.strip().partition(":")
         if name:
-            parts.append((name, _whole(tokens)))
+            parts.append((name, _parse_whole_number(tokens)))
     return tuple(parts)
--- a/src/ridgesill/platform/settings.py
+++ b/src/ridgesill/platform/settings.py
@@ -1,4 +1,4 @@
-"""The settings file that the platform gives to each process (YAML)."""
+"""Reads the YAML settings file that the platform writes for each process."""
 
 import os
 from pathlib import Path
@@ -9,20 +9,26 @@
 
 from ridgesill.core.addresses import with_port
 
-# The environment variable that holds the file's path.
+# The environment variable that holds the path of the settings file.
 _PATH_VARIABLE = "RIDGESILL_SETTINGS"
 
 
-# Own address for peers where something stands before it, as the fault soak's
-# proxies do; deploy/system.toml may set it under `env`.
+# The address to listen on for peers if it differs from the advertised one, as
+# behind the proxies of the fault soak; deploy/system.toml may set it in `env`.
 _PEERS_LISTEN_VARIABLE = "RIDGESILL_PEERS_LISTEN"
-# Where each role serves its figures; deploy/system.toml names the same.
+# Each role serves its metrics here; deploy/system.toml must name the same port
+# and path.
 _METRICS_PORT = 9464
 METRICS_PATH = "/metrics"
 
 
 class PlatformSettingsError(Exception):
-    """A settings file that can't be used; names file, field and expectation."""
+    """The settings file is missing, unreadable or invalid.
+
+    Attributes:
+        path: the file, or the environment variable that should name it.
+        field: the invalid field.
+    """
 
     def __init__(self, path: str, field: str, expected: str) -> None:
         super().__init__(
@@ -35,21 +41,27 @@
 
 @attrs.frozen
 class Bounds:
-    """The platform's time limits and shares; times in seconds.
+    """Time limits and shares that the platform requires.
 
     Attributes:
-        drain: after a confirmed departure, no request may reach an upstream.
-        grace: between SIGTERM and SIGKILL.
-        configuration: within which a change is in force everywhere.
-        lease: within which two VMs must not both give orders.
-        retry_share: of requests that may be sent again, over `retry_window`.
-        retry_slack: requests more that may be sent again in that window.
-        version: within which a new adapter version is in force.
-        revocation: within which a key that was taken away is refused by every
-            front, in touch or not; infinite where only those in touch must.
-        quota_window: over which customers' limits are judged.
-        quota_share: of a limit, by which a window may go beyond it.
-        quota_slack: tokens or requests beside that.
+        drain_seconds: once this time has passed since an upstream's leave was
+            acknowledged, no request may reach it.
+        grace_seconds: time between SIGTERM and SIGKILL.
+        configuration_seconds: time within which a configuration change must be
+            in force on all fronts.
+        lease_seconds: time within which two VMs must not both send orders.
+        retry_share: share of requests that may be retried in
+            `retry_window_seconds`.
+        retry_slack: requests that may be retried in that window in addition.
+        version_seconds: time within which a new adapter version must be in
+            force.
+        revocation_seconds: time within which every front must refuse a revoked
+            key, even a front that is partitioned; infinite if only connected
+            fronts must.
+        quota_window_seconds: window over which customers' quotas are checked.
+        quota_share: share of a quota by which a window may exceed it.
+        quota_slack: tokens or requests by which a window may exceed a quota in
+            addition.
     """
 
     drain_seconds: float = 2.0
@@ -68,24 +80,25 @@
 
 @attrs.frozen
 class PlatformSettings:
-    """What a process is told at its start.
+    """The settings of one process.
 
     Attributes:
         vm: the VM's name.
-        data_centre: where it stands.
-        callers: address for clients; empty if this role has none.
-        readiness: address for the balancer's question.
-        control: address for upstreams and the operator.
-        peers: address at which the project's own processes reach this one.
-        peers_listen: address on which it takes their messages; the same
-            unless something forwards between the two.
-        metrics: address for this process's figures.
-        seeds: addresses, for the project's own processes, of the first VMs
-            that serve control.
-        is_first_start: whether the whole deployment starts on empty disks.
-        data_folder: empty for a VM without a disk.
-        losses: VMs with a disk that may be lost at once.
-        heartbeat: seconds between an upstream's heartbeats.
+        data_centre: the VM's data centre.
+        client_address: listens for clients; empty if this role serves none.
+        readiness_address: listens for the load balancer's readiness checks.
+        control_address: listens for upstreams and the operator.
+        peer_address: the address that is advertised to other ridgesill
+            processes.
+        peer_listen_address: listens for their messages; differs from
+            `peer_address` only behind a proxy.
+        metrics_address: serves this process's metrics.
+        seeds: peer addresses of the first VMs that run control nodes.
+        is_first_start: whether the whole deployment starts with empty disks.
+        data_folder: folder for durable data; empty for a VM without a disk.
+        tolerated_losses: VMs with a disk that may fail at the same time.
+        heartbeat_seconds: interval between an upstream's heartbeats.
+        bounds: time limits and shares that the platform requires.
     """
 
     vm: str
@@ -105,7 +118,7 @@
 
     @property
     def voters(self) -> int:
-        """How many voters bear the loss of `losses` of them."""
+        """The number of voters that tolerates `tolerated_losses`."""
         return 2 * self.tolerated_losses + 1
 
 
@@ -113,30 +126,30 @@
     """Returns the path of this process's settings file."""
     path = os.environ.get(_PATH_VARIABLE, "")
     if not path:
-        raise PlatformSettingsError(_PATH_VARIABLE, "value", "a file's path")
+        raise PlatformSettingsError(_PATH_VARIABLE, "value", "a file path")
     return path
 
 
 def read_settings(path: str) -> PlatformSettings:
-    """Returns the settings in a file; unknown fields are passed over.
+    """Reads a settings file; ignores unknown fields.
 
     Raises:
-        PlatformSettingsError: the file can't be read or a field is wrong.
+        PlatformSettingsError: the file can't be read or a field is invalid.
     """
     try:
         document = yaml.load(Path(path).read_text(), Loader=_LOADER)
     except (OSError, yaml.YAMLError) as error:
         raise PlatformSettingsError(path, "file", f"YAML ({error})") from error
     if not isinstance(document, dict):
-        raise PlatformSettingsError(path, "file", "a table of fields")
-    return _Reader(path, document).read()
+        raise PlatformSettingsError(path, "file", "a mapping of fields")
+    return _SettingsReader(path, document).read()
 
 
 _LOADER = getattr(yaml, "CSafeLoader", yaml.SafeLoader)
 
 
-class _Reader:
-    """Takes typed values out of the document."""
+class _SettingsReader:
+    """Converts the parsed document to typed settings."""
 
     def __init__(self, path: str, document: dict[str, Any]) -> None:
         self._path = path
@@ -144,87 +157,88 @@
 
     def read(self) -> PlatformSettings:
         """Returns all settings."""
-        listen = self._table("listen")
-        port = self._peer_port()
-        peers = f"{self._text('ip')}:{port}"
-        tolerance = self._table("tolerance")
+        listen = self._get_table("listen")
+        port = self._read_peer_port()
+        peer_address = f"{self._get_text('ip')}:{port}"
+        tolerance = self._get_table("tolerance")
         return PlatformSettings(
-            vm=self._text("node"),
-            data_centre=self._text("zone"),
+            vm=self._get_text("node"),
+            data_centre=self._get_text("zone"),
             client_address=str(listen.get("front") or ""),
             readiness_address=str(listen.get("ready") or ""),
             control_address=str(listen.get("control") or ""),
-            peer_address=peers,
-            peer_listen_address=os.environ.get(_PEERS_LISTEN_VARIABLE) or peers,
-            metrics_address=f"{self._text('ip')}:{_METRICS_PORT}",
-            seeds=tuple(with_port(seed, port) for seed in self._seeds()),
+            peer_address=peer_address,
+            peer_listen_address=os.environ.get(_PEERS_LISTEN_VARIABLE)
+            or peer_address,
+            metrics_address=f"{self._get_text('ip')}:{_METRICS_PORT}",
+            seeds=tuple(with_port(seed, port) for seed in self._read_seeds()),
             is_first_start=bool(self._document.get("bootstrap", False)),
             data_folder=str(self._document.get("data_directory") or ""),
             tolerated_losses=int(tolerance.get("machines", 0)),
-            heartbeat_seconds=self._heartbeat(),
-            bounds=self._bounds(),
+            heartbeat_seconds=self._read_heartbeat_seconds(),
+            bounds=self._read_bounds(),
         )
 
-    def _text(self, field: str) -> str:
+    def _get_text(self, field: str) -> str:
         value = self._document.get(field)
         if not isinstance(value, str) or not value:
-            raise PlatformSettingsError(self._path, field, "a text")
+            raise PlatformSettingsError(self._path, field, "a non-empty string")
         return value
 
-    def _table(self, field: str) -> dict[str, Any]:
+    def _get_table(self, field: str) -> dict[str, Any]:
         value = self._document.get(field) or {}
         if not isinstance(value, dict):
-            raise PlatformSettingsError(self._path, field, "a table")
+            raise PlatformSettingsError(self._path, field, "a mapping")
         return value
 
-    def _seeds(self) -> list[str]:
+    def _read_seeds(self) -> list[str]:
         seeds = self._document.get("seeds")
         if not isinstance(seeds, list) or not seeds:
             raise PlatformSettingsError(
-                self._path, "seeds", "a list of IP:PORT"
+                self._path, "seeds", "a non-empty list of IP:PORT"
             )
         return [str(seed) for seed in seeds]
 
-    def _peer_port(self) -> int:
+    def _read_peer_port(self) -> int:
         ports = self._document.get("internal_ports")
         if not isinstance(ports, list) or not ports:
             raise PlatformSettingsError(
-                self._path, "internal_ports", "the first and the last port"
+                self._path, "internal_ports", "a list [FIRST_PORT, LAST_PORT]"
             )
         return int(ports[0])
 
-    def _heartbeat(self) -> float:
-        # Milliseconds on the platform.
+    def _read_heartbeat_seconds(self) -> float:
+        # The platform gives milliseconds.
         return float(self._document.get("heartbeat_interval_ms", 1000)) / 1000
 
-    def _bounds(self) -> Bounds:
-        given = self._table("bounds")
-        default = Bounds()
+    def _read_bounds(self) -> Bounds:
+        bounds = self._get_table("bounds")
+        defaults = Bounds()
 
-        def milliseconds(name: str, fallback: float) -> float:
-            return float(given.get(name, fallback * 1000)) / 1000
+        def get_seconds(name: str, default_seconds: float) -> float:
+            return float(bounds.get(name, default_seconds * 1000)) / 1000
 
         return Bounds(
-            drain_seconds=milliseconds("drain_ms", default.drain_seconds),
-            grace_seconds=float(given.get("grace_s", default.grace_seconds)),
-            configuration_seconds=milliseconds(
-                "config_ms", default.configuration_seconds
+            drain_seconds=get_seconds("drain_ms", defaults.drain_seconds),
+            grace_seconds=float(bounds.get("grace_s", defaults.grace_seconds)),
+            configuration_seconds=get_seconds(
+                "config_ms", defaults.configuration_seconds
             ),
-            lease_seconds=milliseconds("lease_ms", default.lease_seconds),
-            retry_share=float(given.get("budget_ratio", default.retry_share)),
+            lease_seconds=get_seconds("lease_ms", defaults.lease_seconds),
+            retry_share=float(bounds.get("budget_ratio", defaults.retry_share)),
             retry_window_seconds=float(
-                given.get("budget_window_s", default.retry_window_seconds)
+                bounds.get("budget_window_s", defaults.retry_window_seconds)
             ),
-            retry_slack=float(given.get("budget_slack", default.retry_slack)),
-            version_seconds=milliseconds("version_ms", default.version_seconds),
-            revocation_seconds=milliseconds(
-                "revoke_ms", default.revocation_seconds
+            retry_slack=float(bounds.get("budget_slack", defaults.retry_slack)),
+            version_seconds=get_seconds("version_ms", defaults.version_seconds),
+            revocation_seconds=get_seconds(
+                "revoke_ms", defaults.revocation_seconds
             )
-            if given.get("strict_revocation")
-            else default.revocation_seconds,
+            if bounds.get("strict_revocation")
+            else defaults.revocation_seconds,
             quota_window_seconds=float(
-                given.get("quota_window_s", default.quota_window_seconds)
+                bounds.get("quota_window_s", defaults.quota_window_seconds)
             ),
-            quota_share=float(given.get("quota_excess", default.quota_share)),
-            quota_slack=float(given.get("quota_slack", default.quota_slack)),
+            quota_share=float(bounds.get("quota_excess", defaults.quota_share)),
+            quota_slack=float(bounds.get("quota_slack", defaults.quota_slack)),
         )
--- a/src/ridgesill/platform/upstreams.py
+++ b/src/ridgesill/platform/upstreams.py
@@ -1,7 +1,7 @@
-"""Upstreams' heartbeats and reports, and orders to them.
+"""Decodes upstreams' heartbeats and reports, and encodes orders to them.
 
-What they say may come from another writer: it is decoded into the types below
-by the codec, whose errors name the field, or refused.
+Other programs may write these messages, so each is decoded into one of the
+types below or rejected with an error that names the invalid field.
 """
 
 import ipaddress
@@ -22,146 +22,160 @@
 from ridgesill.platform.known_fields import HEARTBEAT_FIELDS, REPORT_FIELDS
 from ridgesill.ports.http import HttpRequest, ResponseHead, find_header
 
-# An upstream that leaves says so in all its answers.
-_LEAVING = b"server-leaving"
+# A leaving upstream sets this header in all of its answers.
+_LEAVING_HEADER = b"server-leaving"
 _ORDER_PATH = b"/ridgesill/order"
 _REPORT_PATH = b"/ridgesill/report"
-_VERDICTS = {
+_VERDICTS_BY_STATUS = {
     200: OrderVerdict.HOLDS,
     202: OrderVerdict.TAKEN,
     409: OrderVerdict.REFUSED,
     412: OrderVerdict.FENCED,
     421: OrderVerdict.MISDIRECTED,
 }
-# What a path may hold as a name, and an adapter in a list.
+# An upstream's identifier in a path, and an adapter in a list of artifacts.
 _IDENTIFIER = re.compile(r"[A-Za-z0-9._~-]{1,128}")
-_LISTED = re.compile(r"[^@]+(@[0-9]{1,15})?")
-# Stands between an upstream's own name and its start, and in neither.
-_START_MARK = "#"
-# Largest number that other programs' JSON keeps whole.
-_WHOLE_MOST = 2**53
-# Requests that a runner may say it works on at once.
-_SLOTS_MOST = 1_000_000
-# How much of a decoder's message goes into an answer, in characters.
-_DETAIL_MOST = 200
-_PORT_MOST = 65535
-
-_Whole = Annotated[int, msgspec.Meta(ge=0, le=_WHOLE_MOST)]
-_Text = Annotated[str, msgspec.Meta(min_length=1, max_length=200)]
+_NAME_AT_VERSION = re.compile(r"[^@]+(@[0-9]{1,15})?")
+# Separates an upstream's identifier from its start time; `_IDENTIFIER` does
+# not allow it.
+_INCARNATION_SEPARATOR = "#"
+# JSON parsers that decode numbers as doubles are exact up to this integer.
+_MAX_JSON_INTEGER = 2**53
+# The most concurrent requests that an upstream may report as its slots.
+_MAX_SLOTS = 1_000_000
+# Decoder messages are truncated to this length in answers.
+_MAX_DETAIL_CHARACTERS = 200
+_MAX_PORT = 65535
+
+_WholeNumber = Annotated[int, msgspec.Meta(ge=0, le=_MAX_JSON_INTEGER)]
+_ShortText = Annotated[str, msgspec.Meta(min_length=1, max_length=200)]
 _T = TypeVar("_T")
 
 
 class MalformedError(ValueError):
-    """What can't be understood; says which field."""
+    """A message is malformed; the text names the field."""
 
 
 class _HeldModel(msgspec.Struct):
-    """A model that an engine holds, with its adapters as NAME@VERSION."""
+    """A model that an engine holds; lists its adapters as NAME@VERSION."""
 
-    name: _Text
-    version: _Whole = 1
-    adapters: list[_Text] | None = None
+    name: _ShortText
+    version: _WholeNumber = 1
+    adapters: list[_ShortText] | None = None
 
 
 class _SaidHeartbeat(msgspec.Struct):
-    """A registration or status report, without the fields not used here."""
+    """The fields of a registration or status report that are used here."""
 
-    service: _Text
-    address: _Text
-    zone: _Text
-    slots: Annotated[int, msgspec.Meta(ge=1, le=_SLOTS_MOST)]
+    service: _ShortText
+    address: _ShortText
+    zone: _ShortText
+    slots: Annotated[int, msgspec.Meta(ge=1, le=_MAX_SLOTS)]
     state: Literal["ready", "draining"]
-    # Counts status reports here; in a report it counts orders taken.
-    sequence: _Whole
-    # The Unix millisecond of its start; older engines don't tell.
-    born: _Whole = 0
+    # Counts the status reports sent. In `_SaidReport` the field of the same
+    # name counts accepted orders instead.
+    sequence: _WholeNumber
+    # Start time in Unix milliseconds; older engines don't send it.
+    born: _WholeNumber = 0
     remaining_ms: float | None = None
     models: list[_HeldModel] | None = None
 
 
 class _SaidReport(msgspec.Struct):
-    """What an engine says when asked."""
+    """An engine's answer to a report request."""
 
-    sequence: _Whole
-    born: _Whole = 0
+    sequence: _WholeNumber
+    born: _WholeNumber = 0
     busy_slots: bool = False
     models: list[_HeldModel] = []
-    # Adapters on their way, as MODEL/NAME@VERSION.
-    incoming: list[_Text] = []
-    running_requests: _Whole = 0
-    queued_requests: _Whole = 0
+    # Adapters that are being loaded, as MODEL/NAME@VERSION.
+    incoming: list[_ShortText] = []
+    running_requests: _WholeNumber = 0
+    queued_requests: _WholeNumber = 0
 
 
 class _SaidLeave(msgspec.Struct):
-    """An upstream's word that it leaves, which mostly is empty."""
+    """The body of a leave call; most upstreams send an empty body."""
 
-    born: _Whole = 0
+    born: _WholeNumber = 0
 
 
 def read_identifier(text: str) -> str:
-    """Returns the name that an upstream gives itself in a path.
+    """Returns the identifier that an upstream puts into the path of a call.
 
     Raises:
-        MalformedError: it is none.
+        MalformedError: the text is not a valid identifier.
     """
     if not _IDENTIFIER.fullmatch(text):
-        raise MalformedError(f"identifier: not a name: {text[:40]!r}")
+        raise MalformedError(
+            "identifier: expected 1 to 128 letters, digits or any of ._~-, "
+            f"got {text[:40]!r}"
+        )
     return text
 
 
 def make_incarnation_name(identifier: str, born: int) -> str:
-    """Returns the name by which one start of an upstream is known here.
+    """Returns the name of one incarnation of an upstream.
+
+    An upstream loses its state and its running requests when it restarts, so
+    each incarnation is tracked under a name of its own.
 
-    What is known of an upstream, and what runs there, ends with its start. A
-    name for each keeps a later start apart from it everywhere.
+    Args:
+        identifier: the identifier that all incarnations share.
+        born: start time in Unix milliseconds; 0 if unknown.
     """
-    return f"{identifier}{_START_MARK}{born}" if born else identifier
+    return f"{identifier}{_INCARNATION_SEPARATOR}{born}" if born else identifier
 
 
 def read_instance(name: str) -> str:
-    """Returns the name that an upstream itself answers to."""
-    return name.partition(_START_MARK)[0]
+    """Returns the upstream's own identifier from an incarnation's name."""
+    return name.partition(_INCARNATION_SEPARATOR)[0]
 
 
 def read_heartbeat(identifier: str, body: bytes) -> Heartbeat:
-    """Returns an upstream's heartbeat.
+    """Decodes an upstream's heartbeat.
 
     Raises:
-        MalformedError: a field is missing or wrong.
+        MalformedError: a field is missing or invalid.
     """
-    said = _decode(body, _SaidHeartbeat)
-    _check_address(said.address)
-    remaining = said.remaining_ms
+    message = _decode(body, _SaidHeartbeat)
+    _check_address(message.address)
+    remaining = message.remaining_ms
     return Heartbeat(
-        name=make_incarnation_name(identifier, said.born),
-        service=said.service,
-        address=said.address,
-        data_centre=said.zone,
-        slots=said.slots,
-        draining=said.state == "draining",
-        sequence=said.sequence,
-        resident=None if said.models is None else _resident(said.models),
+        name=make_incarnation_name(identifier, message.born),
+        service=message.service,
+        address=message.address,
+        data_centre=message.zone,
+        slots=message.slots,
+        draining=message.state == "draining",
+        sequence=message.sequence,
+        resident=None
+        if message.models is None
+        else _collect_resident(message.models),
         gone_in=None if remaining is None else remaining / 1000,
         instance=identifier,
-        start=said.born,
+        start=message.born,
         unknown=find_unknown_fields(body, HEARTBEAT_FIELDS),
     )
 
 
 def read_leave(body: bytes) -> int:
-    """Returns the start that says it leaves; 0 when it doesn't tell.
+    """Decodes the body of a leave call to the incarnation's start time.
+
+    Returns:
+        Unix milliseconds; 0 if the upstream doesn't send its start time.
 
     Raises:
-        MalformedError: the body holds something else.
+        MalformedError: the body is neither empty nor a valid leave message.
     """
     return _decode(body, _SaidLeave).born if body.strip() else 0
 
 
-def _decode(body: bytes, shape: type[_T]) -> _T:
+def _decode(body: bytes, message_type: type[_T]) -> _T:
     try:
-        return msgspec.json.decode(body, type=shape)
+        return msgspec.json.decode(body, type=message_type)
     except (msgspec.MsgspecError, RecursionError) as error:
-        raise MalformedError(str(error)[:_DETAIL_MOST]) from error
+        raise MalformedError(str(error)[:_MAX_DETAIL_CHARACTERS]) from error
 
 
 def _check_address(address: str) -> None:
@@ -169,45 +183,51 @@
         host, port = split_address(address)
         ipaddress.IPv4Address(host)
     except ValueError as error:
-        raise MalformedError(f"address: {str(error)[:_DETAIL_MOST]}") from error
-    if not 0 < port <= _PORT_MOST:
-        raise MalformedError(f"address: no port: {port}")
+        raise MalformedError(
+            f"address: {str(error)[:_MAX_DETAIL_CHARACTERS]}"
+        ) from error
+    if not 0 < port <= _MAX_PORT:
+        raise MalformedError(
+            f"address: expected a port from 1 to 65535, got {port}"
+        )
 
 
-def _resident(models: list[_HeldModel]) -> dict[str, int]:
-    """Returns versions by `model` and `model/adapter`."""
+def _collect_resident(models: list[_HeldModel]) -> dict[str, int]:
+    """Returns the versions of held artifacts by `model` or `model/adapter`."""
     resident = {}
     for model in models:
         resident[model.name] = model.version
-        for listed in model.adapters or ():
-            adapter, version = _split_listed("models", listed)
+        for entry in model.adapters or ():
+            adapter, version = _split_name_and_version("models", entry)
             resident[f"{model.name}/{adapter}"] = version
     return resident
 
 
-def _incoming(listed: list[str]) -> dict[str, int]:
-    """Returns versions by artifact."""
-    return dict(_split_listed("incoming", item) for item in listed)
+def _collect_incoming(entries: list[str]) -> dict[str, int]:
+    """Returns the versions of artifacts that are being loaded, by name."""
+    return dict(_split_name_and_version("incoming", entry) for entry in entries)
 
 
-def _split_listed(field: str, listed: str) -> tuple[str, int]:
-    """Returns name and version of NAME@VERSION."""
-    if not _LISTED.fullmatch(listed):
-        raise MalformedError(f"{field}: not NAME@VERSION: {listed[:40]!r}")
-    name, _, version = listed.partition("@")
+def _split_name_and_version(field: str, entry: str) -> tuple[str, int]:
+    """Splits NAME@VERSION; the version defaults to 1."""
+    if not _NAME_AT_VERSION.fullmatch(entry):
+        raise MalformedError(
+            f"{field}: expected NAME@VERSION, got {entry[:40]!r}"
+        )
+    name, _, version = entry.partition("@")
     return name, int(version or 1)
 
 
 def is_leaving(head: ResponseHead) -> bool:
-    """Whether an upstream says in any answer that it leaves."""
-    return find_header(head.headers, _LEAVING).strip() not in ("", "0")
+    """Whether an answer's headers say that the upstream is leaving."""
+    return find_header(head.headers, _LEAVING_HEADER).strip() not in ("", "0")
 
 
 class PlatformEngines:
     """Implements `ports.dialect.EngineCalls`."""
 
     def write_order_request(self, order: FleetOrder) -> HttpRequest:
-        """Returns the call that carries an order."""
+        """Encodes an order to an engine as a request."""
         model, _, adapter = order.artifact.partition("/")
         body: dict[str, Any] = {"operation": order.action.value, "model": model}
         if adapter:
@@ -217,45 +237,51 @@
         body["expected_revision"] = order.revision
         body["holder"] = order.holder
         body["fencing_token"] = order.token
-        return _call(b"POST", _ORDER_PATH, order.upstream, order.address, body)
+        return _make_request(
+            b"POST", _ORDER_PATH, order.upstream, order.address, body
+        )
 
     def read_verdict(self, status: int) -> OrderVerdict:
-        """Returns what an answer says of an order."""
-        return _VERDICTS.get(status, OrderVerdict.REFUSED)
+        """Returns the verdict on an order from the status of its answer.
+
+        Unknown statuses count as refusals.
+        """
+        return _VERDICTS_BY_STATUS.get(status, OrderVerdict.REFUSED)
 
     def is_leaving(self, head: ResponseHead) -> bool:
-        """Whether an engine says in an answer that it leaves."""
+        """Whether an answer's headers say that the engine is leaving."""
         return is_leaving(head)
 
     def write_report_request(self, upstream: str, address: str) -> HttpRequest:
-        """Returns the call that asks an engine for its report."""
-        return _call(b"GET", _REPORT_PATH, upstream, address, None)
+        """Builds the request for an engine's report."""
+        return _make_request(b"GET", _REPORT_PATH, upstream, address, None)
 
     def read_report(self, body: bytes) -> EngineReport:
-        """Returns what an engine reports.
+        """Decodes an engine's report.
 
         Raises:
-            MalformedError: a field is missing or wrong.
+            MalformedError: a field is missing or invalid.
         """
-        said = _decode(body, _SaidReport)
+        message = _decode(body, _SaidReport)
         return EngineReport(
-            revision=said.sequence,
-            # Whether an order is under way, whatever its name says.
-            busy=said.busy_slots,
-            resident=_resident(said.models),
-            incoming=_incoming(said.incoming),
-            running=said.running_requests,
-            queued=said.queued_requests,
-            start=said.born,
+            revision=message.sequence,
+            # Despite its name, the field is set while the engine carries out
+            # an order.
+            busy=message.busy_slots,
+            resident=_collect_resident(message.models),
+            incoming=_collect_incoming(message.incoming),
+            running=message.running_requests,
+            queued=message.queued_requests,
+            start=message.born,
             unknown=find_unknown_fields(body, REPORT_FIELDS),
         )
 
     def make_incarnation_name(self, upstream: str, start: int) -> str:
-        """Returns the name of another start of an upstream."""
+        """Returns the name of another incarnation of an upstream."""
         return make_incarnation_name(read_instance(upstream), start)
 
 
-def _call(
+def _make_request(
     method: bytes,
     path: bytes,
     upstream: str,
--- a/src/ridgesill/ports/__init__.py
+++ b/src/ridgesill/ports/__init__.py
@@ -1,1 +1,1 @@
-"""Interfaces through which the core meets the outside."""
+"""Interfaces between the core and the adapters."""
--- a/src/ridgesill/ports/administration.py
+++ b/src/ridgesill/ports/administration.py
@@ -1,4 +1,4 @@
-"""What operators can ask of a node."""
+"""Interface for operators' requests to a node."""
 
 from typing import Protocol
 
@@ -9,14 +9,14 @@
 
 @attrs.frozen
 class ApplyResult:
-    """What became of a file.
+    """The result of applying a declaration.
 
     Attributes:
-        verdict: `accepted`, `conflict`, or `unknown` when no leader answered
-            and the same file must be sent again to learn its fate.
+        verdict: `accepted`, `conflict`, or `unknown` if no leader answered; in
+            that case the same file must be sent again to learn the result.
         version: the version in force.
-        digest: its digest.
-        detail: for a person.
+        digest: digest of the declaration in force.
+        detail: explanation for the operator.
     """
 
     verdict: str
@@ -27,7 +27,16 @@
 
 @attrs.frozen
 class NodeReport:
-    """A node as the leader knows it."""
+    """A node's state as known to the leader.
+
+    Attributes:
+        name: name of the node.
+        data_centre: data centre of the node.
+        version: the configuration version that the node has.
+        applied: index of the last log entry that the node has applied.
+        draining: whether the node takes no new work.
+        voter: whether the node votes in the log's elections.
+    """
 
     name: str
     data_centre: str
@@ -39,7 +48,16 @@
 
 @attrs.frozen
 class RunnerReport:
-    """A runner as its owner knows it."""
+    """A runner's state as known to the owner of its pool.
+
+    Attributes:
+        name: name of the runner.
+        service: the service that the runner belongs to.
+        data_centre: data centre of the runner.
+        resident: adapters that the runner holds.
+        in_flight: requests that are running on it.
+        leaving: whether it is shutting down.
+    """
 
     name: str
     service: str
@@ -51,7 +69,7 @@
 
 @attrs.frozen
 class PoolReport:
-    """A pool and its owner."""
+    """A pool, the node that owns it and the epoch of that ownership."""
 
     pool: str
     owner: str
@@ -60,12 +78,17 @@
 
 @attrs.frozen
 class ConfigurationReport:
-    """The configuration in force on the node that was asked.
+    """The configuration in force on the node that answers.
 
     Attributes:
-        fresh: whether the node can confirm that it still is in force.
-        everywhere: whether every live node has it in force; None if this
-            node does not lead and can't tell.
+        version: version of the configuration.
+        digest: digest of the configuration.
+        fresh: whether the node can confirm that this version is still current.
+        everywhere: whether it is in force on every live node; None if the
+            answering node is not the leader and can't tell.
+        adapters: number of adapters.
+        teams: number of teams.
+        services: number of services.
     """
 
     version: int
@@ -79,7 +102,20 @@
 
 @attrs.frozen
 class Status:
-    """The state of the system as the node that was asked knows it."""
+    """The state of the system as known to the node that answers.
+
+    Attributes:
+        node: name of the answering node.
+        incarnation: the answering node's incarnation.
+        leader: name of the leader; empty if unknown.
+        voters: names of the log's voters.
+        fresh: whether the node can confirm that its state is current.
+        version: version of the configuration in force.
+        index: index of the last log entry that the node has applied.
+        nodes: nodes that the leader has recently heard from.
+        pools: all pools that have an owner.
+        runners: the runners of the pools that this node owns.
+    """
 
     node: str
     incarnation: str
@@ -94,10 +130,15 @@
 
 
 class Administration(Protocol):
-    """Carries operators' requests out; used from worker threads."""
+    """Carries out operators' requests; called from worker threads."""
 
     def apply(self, operation: str, declared: Declaration) -> ApplyResult:
-        """Brings a declaration into force, or says why not."""
+        """Applies a declaration.
+
+        Args:
+            operation: id of the operation; repeating it is idempotent.
+            declared: the declaration to bring into force.
+        """
 
     def show(self) -> ConfigurationReport:
         """Returns the configuration in force."""
@@ -106,4 +147,4 @@
         """Returns the state of the system."""
 
     def drain(self) -> None:
-        """Has the node take no new work and stop once it has no other."""
+        """Stops accepting new work; the node exits when its work is done."""
--- a/src/ridgesill/ports/control_calls.py
+++ b/src/ridgesill/ports/control_calls.py
@@ -1,4 +1,4 @@
-"""The calls that upstreams and the operator make to a control node."""
+"""Types of the calls that upstreams and the operator make to a control node."""
 
 from typing import Protocol
 
@@ -17,11 +17,12 @@
 
 @attrs.frozen
 class LeaveCall:
-    """An upstream's word that it is leaving.
+    """An upstream's announcement that it is leaving.
 
     Attributes:
-        instance: what it calls itself.
-        start: which of its starts; 0 when it doesn't tell.
+        instance: the upstream's own identifier.
+        start: start time of the leaving incarnation in Unix milliseconds; 0 if
+            the upstream doesn't send it.
     """
 
     instance: str
@@ -30,7 +31,12 @@
 
 @attrs.frozen
 class PutRoutesCall:
-    """A valid configuration document and its version."""
+    """Replaces the configuration document.
+
+    Attributes:
+        version: version of the document.
+        document: the document, valid and encoded as it was received.
+    """
 
     version: int
     document: bytes
@@ -38,12 +44,12 @@
 
 @attrs.frozen
 class ReadRoutesCall:
-    """Asks for the newest configuration document."""
+    """Requests the newest configuration document."""
 
 
 @attrs.frozen
 class PutVersionCall:
-    """Names a new version of an artifact."""
+    """Announces a new version of an artifact."""
 
     artifact: str
     version: int
@@ -51,25 +57,25 @@
 
 @attrs.frozen
 class ListQuarantineCall:
-    """Asks which requests get no upstream."""
+    """Requests the list of quarantined requests, which get no upstream."""
 
 
 @attrs.frozen
 class ListLimitsCall:
-    """Asks which upstreams have named limits."""
+    """Requests the request rate limits that upstreams have asked for."""
 
 
 @attrs.frozen
 class ListQuotasCall:
-    """Asks what customers use of their limits."""
+    """Requests the customers' use of their quotas."""
 
 
 @attrs.frozen
 class LiftQuarantineCall:
-    """Has a request get upstreams again.
+    """Lifts the quarantine of a request.
 
     Attributes:
-        request: the hash of its content, as the list names it.
+        request: hash of the request's content, as in the quarantine list.
     """
 
     request: str
@@ -77,7 +83,12 @@
 
 @attrs.frozen
 class BadCall:
-    """A call that can't be carried out; says why."""
+    """An invalid call.
+
+    Attributes:
+        status: HTTP status of the answer.
+        detail: what is invalid, for the sender.
+    """
 
     status: int
     detail: str
@@ -88,8 +99,11 @@
     """The answer to a call.
 
     Attributes:
+        status: HTTP status.
+        detail: explanation for the sender; empty if there is none.
         next_address: where an upstream should send its next heartbeats.
-        document: the configuration that was asked for.
+        document: body of the answer, such as a configuration or a list; empty
+            if there is none.
     """
 
     status: int
@@ -99,10 +113,10 @@
 
 
 class ControlCalls(Protocol):
-    """Translates calls and their answers."""
+    """Decodes calls and encodes their answers."""
 
     def read(self, request: HttpRequest) -> object:
-        """Returns the call that a request makes."""
+        """Decodes a request; an invalid one becomes a `BadCall`."""
 
     def write(self, reply: CallReply) -> tuple[int, bytes]:
-        """Returns status and JSON body of an answer."""
+        """Encodes a reply as its HTTP status and JSON body."""
--- a/src/ridgesill/ports/dialect.py
+++ b/src/ridgesill/ports/dialect.py
@@ -1,6 +1,7 @@
-"""How the outside world words requests, answers, heartbeats and orders.
+"""Interfaces that translate requests, answers, heartbeats and orders.
 
-The data path and the fleet speak in these types; an adapter translates them.
+The data path and the fleet use the types in this module; an adapter translates
+them to and from the formats of clients and upstreams.
 """
 
 from typing import Protocol
@@ -11,25 +12,26 @@
 from ridgesill.core.fleet.orders import EngineReport, FleetOrder, OrderVerdict
 from ridgesill.ports.http import Headers, HttpRequest, ResponseHead
 
-# What a request without a priority has; from 0, which goes first, to 9.
+# Default request priority; priorities range from 0 (scheduled first) to 9.
 NORMAL_PRIORITY = 5
 
 
 @attrs.frozen
 class RequestFacts:
-    """What a client says of its request.
+    """The facts that a client gives about its request.
 
     Attributes:
-        request: its id.
-        host: the name it was sent to.
+        request: id of the request.
+        host: host name that the request was sent to.
         model: the base model; empty for a plain service.
-        adapter: of that model; empty for none.
-        prompt_tokens: tokens of the prompt.
-        answer_tokens: the most that the answer may have.
-        parts: of the prompt, in order: id and tokens.
-        patience: seconds that the client will wait; 0 if it doesn't say.
-        last_event: the id of the last event it has; empty at the start.
-        key_digest: of the caller's key; empty without one.
+        adapter: adapter of that model; empty for the base model itself.
+        prompt_tokens: number of tokens in the prompt.
+        answer_tokens: maximum number of tokens in the answer.
+        parts: parts of the prompt in order, each with its id and token count.
+        patience: seconds that the client will wait; 0 if unknown.
+        last_event: id of the last event that the client has received; empty
+            for a new stream.
+        key_digest: digest of the caller's API key; empty without a key.
     """
 
     request: str
@@ -45,7 +47,10 @@
 
     @property
     def artifact(self) -> str:
-        """What an upstream must hold: `model` or `model/adapter`."""
+        """The artifact that an upstream must hold.
+
+        It is `model` or `model/adapter`.
+        """
         if self.adapter:
             return f"{self.model}/{self.adapter}"
         return self.model
@@ -53,16 +58,18 @@
 
 @attrs.frozen
 class ForwardOptions:
-    """What is said to an upstream beside the client's own words.
+    """Options that a front adds to a request that it forwards.
 
     Attributes:
-        upstream: the process that is meant, by incarnation.
-        seconds_left: until the answer is of no use.
-        version: of the adapter, where one is required; 0 for any.
-        last_event: to go on after; empty for a start.
-        priority: among the requests that an engine has not begun; 0 goes
-            first.
-        customer: whose request it is; empty where callers need no keys.
+        upstream: name of the upstream's incarnation that must serve the
+            request.
+        seconds_left: seconds until the client's deadline.
+        version: the required adapter version; 0 for any.
+        last_event: id of the event after which the stream resumes; empty for a
+            new stream.
+        priority: priority in the engine's queue; 0 is scheduled first.
+        customer: the customer that the request belongs to; empty if callers
+            need no keys.
     """
 
     upstream: str
@@ -75,17 +82,19 @@
 
 @attrs.frozen
 class UpstreamWord:
-    """What an upstream says of itself in the head of any answer.
+    """What the head of an answer says about the upstream itself.
 
     Attributes:
-        rest: seconds for which it wants nothing from this process.
-        leaves: whether this start of it is about to end.
-        unread: what it asked for instead of a rest that can be granted.
-        instance: who has the address, where a request meant for another says
-            so; empty otherwise.
-        limit: requests a second that it takes from all fronts; None where it
-            names no limit.
-        unread_limit: what it named instead of a limit that can be kept.
+        rest: seconds for which the upstream wants no requests from this
+            process.
+        leaves: whether this incarnation is about to stop.
+        unread: value of a rest that is invalid or too long; empty otherwise.
+        instance: identifier of the instance that answered, if the request was
+            meant for another one; empty otherwise.
+        limit: requests per second that the upstream accepts from all fronts
+            together; None without a limit.
+        unread_limit: value of a limit that is invalid or too low; empty
+            otherwise.
     """
 
     rest: float = 0.0
@@ -96,64 +105,73 @@
     unread_limit: str = ""
 
 
-# What nearly every answer says.
+# Most answers say nothing about their upstream.
 EMPTY_UPSTREAM_WORD = UpstreamWord()
 
 
 class Dialect(Protocol):
-    """Translates what clients and upstreams say."""
+    """Translates clients' requests and upstreams' answers."""
 
     def read_request(self, request: HttpRequest) -> RequestFacts:
-        """Returns what a client says of its request."""
+        """Extracts the facts that a client gives about its request."""
 
     def write_upstream_request(
-        self, request: HttpRequest, terms: ForwardOptions
+        self, request: HttpRequest, options: ForwardOptions
     ) -> HttpRequest:
-        """Returns the request as it goes to an upstream."""
+        """Builds the request that is forwarded to an upstream."""
 
     def is_not_run(self, head: ResponseHead) -> bool:
-        """Whether an upstream says that it has not run a request."""
+        """Whether an answer says that the request was not run."""
 
     def is_misdirected(self, head: ResponseHead) -> bool:
-        """Whether an upstream lacks what a request asks for."""
+        """Whether the upstream is another instance or lacks the artifact."""
 
     def read_upstream_word(self, head: ResponseHead) -> UpstreamWord:
-        """Returns what an upstream says of itself beside its answer."""
+        """Returns what an answer's head says about the upstream itself."""
 
     def find_unknown_headers(self, head: ResponseHead) -> tuple[str, ...]:
-        """Returns the words of an upstream that nothing here reads."""
+        """Returns the names of an upstream's headers that are not known."""
+
+    def filter_answer_headers(self, head: ResponseHead) -> Headers:
+        """Returns the headers of an answer that are passed to the client."""
 
-    def answer_headers(self, head: ResponseHead) -> Headers:
-        """Returns the headers of an answer that the client gets."""
+    def make_retry_headers(self, after: float) -> Headers:
+        """Returns the headers that tell a client when to retry.
 
-    def retry_headers(self, after: float) -> Headers:
-        """Returns headers that tell a client when to come back."""
+        Args:
+            after: seconds from now.
+        """
 
 
 class EngineCalls(Protocol):
-    """Translates orders to engines and what they report."""
+    """Translates orders to engines and engines' reports."""
 
     def write_order_request(self, order: FleetOrder) -> HttpRequest:
-        """Returns the call that carries an order."""
+        """Encodes an order to an engine as a request."""
 
     def read_verdict(self, status: int) -> OrderVerdict:
-        """Returns what an answer says of an order."""
+        """Returns the verdict on an order from the status of its answer."""
 
     def is_leaving(self, head: ResponseHead) -> bool:
-        """Whether an engine says in an answer that it leaves."""
+        """Whether an answer says that the engine is leaving."""
 
     def write_report_request(self, upstream: str, address: str) -> HttpRequest:
-        """Returns the call that asks an engine for its report."""
+        """Builds the request for an engine's report."""
 
     def make_incarnation_name(self, upstream: str, start: int) -> str:
-        """Returns the name of another start of an upstream."""
+        """Returns the name of another incarnation of an upstream.
+
+        Args:
+            upstream: name of any incarnation of the upstream.
+            start: start time of the other one in Unix milliseconds.
+        """
 
     def read_report(self, body: bytes) -> EngineReport:
-        """Returns what an engine reports."""
+        """Decodes an engine's report."""
 
 
 class HeartbeatCalls(Protocol):
-    """Translates upstreams' heartbeats."""
+    """Decodes upstreams' heartbeats."""
 
     def read_heartbeat(self, name: str, body: bytes) -> Heartbeat:
-        """Returns an upstream's heartbeat."""
+        """Decodes an upstream's heartbeat."""
--- a/src/ridgesill/ports/http.py
+++ b/src/ridgesill/ports/http.py
@@ -1,4 +1,4 @@
-"""What the data path says and hears over HTTP, without sockets."""
+"""HTTP messages of the data path, independent of sockets."""
 
 from typing import Protocol
 
@@ -8,15 +8,20 @@
 
 
 def find_header(headers: Headers, name: bytes) -> str:
-    """Returns a header's value, or an empty text; names are lower case."""
+    """Returns the first value of a header; empty if the header is missing.
+
+    Args:
+        headers: all headers, names in lower case.
+        name: name of the header in lower case.
+    """
     for key, value in headers:
         if key == name:
             return value.decode("latin-1")
     return ""
 
 
-# Headers that concern one channel only (RFC 9110, 7.6.1).
-_CHANNEL_HEADERS = frozenset(
+# Headers that apply to a single connection only (RFC 9110, 7.6.1).
+_HOP_BY_HOP_HEADERS = frozenset(
     (
         b"connection",
         b"keep-alive",
@@ -32,12 +37,12 @@
 def drop_hop_by_hop_headers(
     headers: Headers, keep: frozenset[bytes] = frozenset()
 ) -> Headers:
-    """Returns the headers that travel beyond one channel.
+    """Returns the headers without those that apply to one connection only.
 
     Args:
         headers: all headers, names in lower case.
-        keep: names that travel on even where the sender lists them as
-            concerning its channel only.
+        keep: names that are kept even if the sender's Connection header lists
+            them.
     """
     listed = {
         name.strip()
@@ -45,7 +50,7 @@
         if key == b"connection"
         for name in value.lower().split(b",")
     }
-    dropped = _CHANNEL_HEADERS | (listed - keep)
+    dropped = _HOP_BY_HOP_HEADERS | (listed - keep)
     return tuple(
         (name, value) for name, value in headers if name not in dropped
     )
@@ -53,13 +58,15 @@
 
 @attrs.frozen
 class HttpRequest:
-    """A whole request.
+    """A complete request.
 
     Attributes:
+        method: HTTP method in upper case.
         target: path and query, as sent.
-        headers: names in lower case.
-        arrived_at: when its head had arrived, on the runtime's clock.
-        peer: the address that it came from.
+        headers: all headers, names in lower case.
+        body: the complete body.
+        arrived_at: when the head had been received, on the event loop's clock.
+        peer: address of the sender.
     """
 
     method: bytes
@@ -76,7 +83,7 @@
 
 
 class Responder(Protocol):
-    """Answers one request."""
+    """Sends the answer to one request."""
 
     @property
     def started(self) -> bool:
@@ -91,18 +98,24 @@
         """Sends a part of the body."""
 
     async def drain(self) -> None:
-        """Waits until the client has read enough of what was sent."""
+        """Waits until the send buffer has room for more data."""
 
     def finish(self) -> None:
-        """Ends the answer as complete."""
+        """Completes the answer."""
 
     def abort(self) -> None:
-        """Closes the channel, so that the answer can't look complete."""
+        """Closes the connection, so that the answer can't look complete."""
 
 
 @attrs.frozen
 class ResponseHead:
-    """The head of an upstream's answer; header names in lower case."""
+    """The status line and headers of an upstream's answer.
+
+    Attributes:
+        status: HTTP status.
+        headers: all headers, names in lower case.
+        reason: reason phrase of the status line.
+    """
 
     status: int
     headers: Headers
@@ -110,9 +123,10 @@
 
     @property
     def has_delimited_body(self) -> bool:
-        """Whether a body that was cut off shows; else its channel's end is its.
+        """Whether the body has a length or is chunked.
 
-        By a length, or in chunks.
+        The end of the connection ends any other body, so that a truncated one
+        can't be detected.
         """
         for name, _ in self.headers:
             if name in (b"content-length", b"transfer-encoding"):
@@ -121,12 +135,12 @@
 
 
 class ChannelError(Exception):
-    """An exchange with an upstream that ended without a whole answer.
+    """An exchange with an upstream ended without a complete answer.
 
     Attributes:
-        step: `connect`, `send`, `head` or `body`.
+        step: what failed: `connect`, `send`, `head` or `body`.
         peer: the upstream's address.
-        sent: whether any byte of the request may have reached it.
+        sent: whether any byte of the request may have reached the upstream.
     """
 
     def __init__(self, step: str, peer: str, detail: str, sent: bool) -> None:
--- a/src/ridgesill/ports/orders.py
+++ b/src/ridgesill/ports/orders.py
@@ -1,4 +1,4 @@
-"""Orders to runners."""
+"""Interface for sending orders to runners."""
 
 from typing import Protocol
 
@@ -10,7 +10,11 @@
 
 
 class Orders(Protocol):
-    """Carries orders out."""
+    """Sends orders to runners."""
 
     async def send(self, order: Order) -> str:
-        """Returns `done`, `failed` (it had no effect) or `unknown`."""
+        """Sends an order and waits for its result.
+
+        Returns:
+            `done`, `failed` if the order had no effect, or `unknown`.
+        """
--- a/src/ridgesill/ports/peers.py
+++ b/src/ridgesill/ports/peers.py
@@ -1,14 +1,14 @@
-"""Messages to other nodes."""
+"""Interface for messages to other nodes."""
 
 from typing import Any, Protocol
 
 
 class PeerError(Exception):
-    """A message that got no answer.
+    """A message to another node got no answer.
 
     Attributes:
-        step: what was being done.
-        peer: the address it was done with.
+        step: the operation that failed.
+        peer: address of the other node.
     """
 
     def __init__(self, step: str, peer: str, detail: str) -> None:
@@ -18,14 +18,14 @@
 
 
 class Peers(Protocol):
-    """Sends messages; delivery is never assured."""
+    """Sends messages to other nodes; delivery is not guaranteed."""
 
     def send(self, address: str, message: Any) -> None:
         """Sends a message that expects no answer."""
 
     async def call(self, address: str, message: Any, timeout: float) -> Any:
-        """Returns the answer to a message.
+        """Sends a message and returns its answer.
 
         Raises:
-            PeerError: there was none within `timeout` seconds.
+            PeerError: no answer arrived within `timeout` seconds.
         """
--- a/src/ridgesill/ports/runner.py
+++ b/src/ridgesill/ports/runner.py
@@ -1,4 +1,4 @@
-"""Requests to runners."""
+"""Interface for sending requests to runners."""
 
 from collections.abc import Iterator
 from typing import Any, Protocol
@@ -9,11 +9,15 @@
 
 @attrs.frozen
 class RunnerRequest:
-    """A request as it goes to a runner.
+    """A request as it is sent to a runner.
 
     Attributes:
-        document: a JSON body whose `model` is set when it is admitted;
-            None where `body` is sent as it is.
+        method: HTTP method.
+        path: path and query.
+        headers: all headers of the request.
+        body: the body; used if `document` is None.
+        document: a JSON body whose `model` is set when the request is admitted;
+            None if `body` is sent unchanged.
     """
 
     method: str
@@ -25,13 +29,14 @@
 
 @attrs.frozen
 class RunnerFailure:
-    """A request that got no usable answer.
+    """A request got no usable answer.
 
     Attributes:
-        step: what was being done.
+        step: the operation that failed.
         peer: the runner's address.
-        not_run: whether it certainly was not started.
-        absent: whether the runner says that it lacks the adapter.
+        detail: what happened.
+        not_run: whether the request certainly was not started.
+        lacks_adapter: whether the runner says that it lacks the adapter.
     """
 
     step: str
@@ -42,7 +47,7 @@
 
 
 class IncompleteAnswerError(Exception):
-    """An answer that ended before it was whole."""
+    """An answer ended before it was complete."""
 
 
 class RunnerResponse(Protocol):
@@ -52,29 +57,43 @@
 
     @property
     def content_type(self) -> str:
-        """The answer's content type."""
+        """The value of the Content-Type header."""
 
     @property
     def other_headers(self) -> tuple[tuple[str, str], ...]:
-        """All other headers."""
+        """All headers but Content-Type."""
 
     def chunks(self) -> Iterator[bytes]:
-        """Yields the body as it arrives; raises `IncompleteAnswerError`."""
+        """Yields the body as it arrives.
+
+        Raises:
+            IncompleteAnswerError: the body ended early.
+        """
 
     def read(self) -> bytes:
-        """Returns the whole body; raises `IncompleteAnswerError`."""
+        """Reads and returns the complete body.
+
+        Raises:
+            IncompleteAnswerError: the body ended early.
+        """
 
     def release(self) -> None:
-        """Ends an answer that was read whole."""
+        """Releases the connection after the answer was read completely."""
 
     def cancel(self) -> None:
-        """Tells the runner to stop."""
+        """Aborts the request, so that the runner stops working on it."""
 
 
 class Runners(Protocol):
-    """Sends requests to runners; used from many threads."""
+    """Sends requests to runners; called from many threads."""
 
     def open(
         self, address: str, request: RunnerRequest, *, repeatable: bool
     ) -> Result[RunnerResponse, RunnerFailure]:
-        """Sends a request; returns once the answer's header is here."""
+        """Sends a request and waits for the head of its answer.
+
+        Args:
+            address: the runner's address.
+            request: the request to send.
+            repeatable: whether the request may safely be sent again.
+        """
--- a/src/ridgesill/ports/serving.py
+++ b/src/ridgesill/ports/serving.py
@@ -1,4 +1,4 @@
-"""What a listener for callers hands on, and what it gets back."""
+"""Interface between listeners for callers and the request path."""
 
 from collections.abc import Iterator
 from typing import Protocol
@@ -11,13 +11,16 @@
 
 @attrs.frozen
 class CallerRequest:
-    """A request as it came in.
+    """A caller's request.
 
     Attributes:
-        key: its Idempotency-Key; empty without one.
-        digest: of its method, path and body.
-        repeatable: whether it may be sent again if its fate is unknown.
-        streamed: whether its answer is a stream of events.
+        call: the target, priority and deadline of the request.
+        runner_request: the request as it is sent to a runner.
+        key: value of the Idempotency-Key header; empty without one.
+        digest: digest of method, path and body.
+        repeatable: whether the request may be sent again if its outcome is
+            unknown.
+        streamed: whether the answer is a stream of events.
     """
 
     call: Call
@@ -30,14 +33,19 @@
 
 @attrs.frozen
 class Reply:
-    """What the caller gets.
+    """The answer that the caller gets.
 
     Attributes:
-        outcome: `completed`, `not-run` or `unknown`; for a stream, what it
-            will be if it ends whole.
-        refusal: set when it is refused.
-        headers: the runner's own but for the content type.
-        replayed: whether it is the recorded answer of an earlier attempt.
+        status: HTTP status.
+        content_type: value of the Content-Type header.
+        body: the complete body, or an iterator over a streamed one.
+        outcome: `completed`, `not-run` or `unknown`; for a stream, the outcome
+            if it ends completely.
+        admission: the runner's slot that the request was granted; None if the
+            request was not admitted.
+        refusal: why the request was refused; None if it was not.
+        replayed: whether this is the recorded answer of an earlier attempt.
+        headers: the runner's headers but Content-Type.
     """
 
     status: int
@@ -51,11 +59,14 @@
 
 
 class IncompleteStreamError(Exception):
-    """A stream that ended early; the connection must not end cleanly."""
+    """A stream ended early, so the connection must be aborted.
+
+    A clean end would make the stream look complete to the caller.
+    """
 
 
 class Serving(Protocol):
-    """Serves callers' requests; used from many threads."""
+    """Serves callers' requests; called from many threads."""
 
     def serve(self, request: CallerRequest) -> Reply:
-        """Returns the reply to a request."""
+        """Serves a request and returns the reply."""
--- a/src/ridgesill/ports/storage.py
+++ b/src/ridgesill/ports/storage.py
@@ -6,17 +6,29 @@
 
 
 class Storage(Protocol):
-    """Keeps a log; each call returns only once its data is synced."""
+    """Stores a replica's log; writes return once their data is synced.
+
+    Attributes:
+        identity: the identity under which the replica votes; empty if the
+            storage is new.
+    """
 
     identity: str
 
     def load(self) -> StoredLog:
-        """Returns what was stored before."""
+        """Returns the stored log."""
 
     def append(
         self, hard_state: HardState | None, entries: list[Entry]
     ) -> None:
-        """Adds entries; one at a stored index cuts the stored tail."""
+        """Appends entries.
+
+        An entry at a stored index replaces the stored entries from there on.
+
+        Args:
+            hard_state: the new term and vote; None if unchanged.
+            entries: entries with consecutive indexes.
+        """
 
     def replace(
         self,
@@ -24,4 +36,4 @@
         hard_state: HardState,
         entries: tuple[Entry, ...],
     ) -> None:
-        """Stores a snapshot and drops all before it but these entries."""
+        """Stores a snapshot and replaces the log by the given entries."""
--- a/src/ridgesill/ports/telemetry.py
+++ b/src/ridgesill/ports/telemetry.py
@@ -1,4 +1,4 @@
-"""What processes count, without saying how it is served."""
+"""Interface for the metrics that processes record."""
 
 import collections
 from collections.abc import Callable
@@ -6,9 +6,9 @@
 
 import attrs
 
-# What is kept for instruments that nobody has asked for yet, in counts: ten
-# minutes of a front's requests in a large fleet, in some 0.3 MB.
-_KEPT_MOST = 1000
+# Records buffered until the instruments exist: ten minutes of a front's
+# requests in a large fleet, about 0.3 MB.
+_MAX_BUFFERED_RECORDS = 1000
 
 
 @attrs.frozen
@@ -16,18 +16,18 @@
     """The end of a client's request.
 
     Attributes:
-        kind: of its route; empty where none was found.
-        priority: of its route.
+        kind: kind of the request's route; empty if no route was found.
+        priority: priority of the request.
         outcome: `served`, `refused`, `failed`, `unknown`, `cut` or
             `client_left`.
-        reason: why, in a word; details of an upstream are left out.
-        seconds: from its arrival.
-        first_seconds: until the first part of the answer.
-        waited_seconds: for a load.
-        attempts: upstreams it was sent to.
-        customer: whose it is: one of the few with the largest limits, or
-            `others`; empty where callers need no keys.
-        in_time: whether the first part of its answer came within the goal.
+        reason: short reason for the outcome, without details of an upstream.
+        seconds: time from the arrival of the request to its end.
+        first_byte_seconds: time until the first part of the answer.
+        load_wait_seconds: time spent waiting for an artifact to be loaded.
+        attempts: number of upstreams that the request was sent to.
+        customer: the customer if it is one of the few with the largest quotas,
+            else `others`; empty if callers need no keys.
+        in_time: whether the first part of the answer met the route's goal.
     """
 
     kind: str
@@ -43,47 +43,55 @@
 
 
 class Telemetry(Protocol):
-    """Takes what is counted."""
+    """Records events in the process's metrics."""
 
     def record_request_end(self, end: RequestEnd) -> None:
-        """Counts the end of a request."""
+        """Records the end of a client's request."""
 
     def record_order(self, action: str, verdict: str) -> None:
-        """Counts an order to an engine."""
+        """Records an order to an engine."""
 
     def record_load_seconds(self, seconds: float) -> None:
-        """Notes how long a load took."""
+        """Records the duration of a load."""
 
     def record_unknown_field(self, word: str) -> None:
-        """Counts a word of an upstream that nothing here reads."""
+        """Records an unknown header or field name of an upstream."""
 
 
 class BufferedTelemetry:
-    """Keeps the latest of what is counted until the instruments are there."""
+    """Buffers the latest records until the instruments exist."""
 
     def __init__(self) -> None:
-        self._kept: collections.deque[Callable[[Telemetry], None]] = (
-            collections.deque(maxlen=_KEPT_MOST)
+        self._records: collections.deque[Callable[[Telemetry], None]] = (
+            collections.deque(maxlen=_MAX_BUFFERED_RECORDS)
         )
 
     def record_request_end(self, end: RequestEnd) -> None:
-        """Counts the end of a request."""
-        self._kept.append(lambda to: to.record_request_end(end))
+        """Buffers the end of a client's request."""
+        self._records.append(
+            lambda telemetry: telemetry.record_request_end(end)
+        )
 
     def record_order(self, action: str, verdict: str) -> None:
-        """Counts an order to an engine."""
-        self._kept.append(lambda to: to.record_order(action, verdict))
+        """Buffers an order to an engine."""
+        self._records.append(
+            lambda telemetry: telemetry.record_order(action, verdict)
+        )
 
     def record_load_seconds(self, seconds: float) -> None:
-        """Notes how long a load took."""
-        self._kept.append(lambda to: to.record_load_seconds(seconds))
+        """Buffers the duration of a load."""
+        self._records.append(
+            lambda telemetry: telemetry.record_load_seconds(seconds)
+        )
 
     def record_unknown_field(self, word: str) -> None:
-        """Counts a word of an upstream that nothing here reads."""
-        self._kept.append(lambda to: to.record_unknown_field(word))
-
-    def replay_into(self, to: Telemetry) -> None:
-        """Has the instruments count what was kept."""
-        for note in self._kept:
-            note(to)
-        self._kept.clear()
+        """Buffers an unknown header or field name of an upstream."""
+        self._records.append(
+            lambda telemetry: telemetry.record_unknown_field(word)
+        )
+
+    def replay_into(self, telemetry: Telemetry) -> None:
+        """Passes all buffered records to `telemetry` and drops them."""
+        for replay in self._records:
+            replay(telemetry)
+        self._records.clear()
--- a/src/ridgesill/standin/emulator/messages.py
+++ b/src/ridgesill/standin/emulator/messages.py
@@ -40,10 +40,10 @@
         return self._facts[find_header(request.headers, _REQUEST)]
 
     def write_upstream_request(
-        self, request: HttpRequest, terms: ForwardOptions
+        self, request: HttpRequest, options: ForwardOptions
     ) -> HttpRequest:
         """Returns the request as it goes to an upstream."""
-        encoded = (_TERMS, msgspec.json.encode(terms))
+        encoded = (_TERMS, msgspec.json.encode(options))
         return HttpRequest(
             request.method, request.target, (*request.headers, encoded)
         )
@@ -64,11 +64,11 @@
         """Finds none: emulated engines say nothing else."""
         return ()
 
-    def answer_headers(self, head: ResponseHead) -> Headers:
+    def filter_answer_headers(self, head: ResponseHead) -> Headers:
         """Returns the headers of an answer that the caller gets."""
         return head.headers
 
-    def retry_headers(self, after: float) -> Headers:
+    def make_retry_headers(self, after: float) -> Headers:
         """Returns headers that tell a caller when to come back."""
         return ((_RETRY_AFTER, b"%.3f" % after),)
 
--- a/testing/adapters/test_caller_http.py
+++ b/testing/adapters/test_caller_http.py
@@ -3,7 +3,7 @@
 import pytest
 
 from testing.clients import (
-    CHAT,
+    CHAT_PATH,
     chat,
     chat_body,
     open_stream,
@@ -22,7 +22,7 @@
 
 class TestBadInput:
     def test_a_body_that_is_no_json(self, node: NodeHandle) -> None:
-        answer = request(node, "POST", CHAT, b"{nope")
+        answer = request(node, "POST", CHAT_PATH, b"{nope")
         assert answer.status == 400
         assert answer.outcome == "not-run"
         assert answer.error["code"] == "invalid-request"
@@ -34,11 +34,11 @@
     def test_a_body_of_the_wrong_shape(
         self, node: NodeHandle, body: bytes
     ) -> None:
-        assert request(node, "POST", CHAT, body).status == 400
+        assert request(node, "POST", CHAT_PATH, body).status == 400
 
     def test_a_body_that_is_too_large(self, node: NodeHandle) -> None:
         body = chat_body("a1", content="x" * 70_000)
-        head = f"POST {CHAT} HTTP/1.1\r\nHost: x\r\n"
+        head = f"POST {CHAT_PATH} HTTP/1.1\r\nHost: x\r\n"
         head += f"Content-Length: {len(body)}\r\n\r\n"
         answer = send_raw(node, head.encode() + body)
         assert b"413" in answer.split(b"\r\n")[0]
@@ -74,7 +74,10 @@
         assert b" 200 " not in answer.split(b"\r\n")[0]
 
     def test_a_slow_client_is_let_go(self, node: NodeHandle) -> None:
-        head = f"POST {CHAT} HTTP/1.1\r\nHost: x\r\nContent-Length: 100\r\n\r\n"
+        head = (
+            f"POST {CHAT_PATH} HTTP/1.1\r\nHost: x\r\n"
+            "Content-Length: 100\r\n\r\n"
+        )
         answer = send_raw(node, head.encode() + b"{", seconds=8.0)
         assert b" 200 " not in answer.split(b"\r\n")[0]
         assert node.is_live()
--- a/testing/app/test_control_api.py
+++ b/testing/app/test_control_api.py
@@ -13,7 +13,7 @@
 from ridgesill.platform.control_calls import PlatformControlCalls
 from ridgesill.ports.http import Headers, HttpRequest
 from testing.app.lone_node import LoneNode, storage_of
-from testing.platform.test_configuration import document, route
+from testing.platform.test_configuration import make_document, make_route
 
 pytestmark = pytest.mark.looptime
 
@@ -94,7 +94,7 @@
     async def test_what_was_put_is_read_back_byte_for_byte(
         self, api: Api
     ) -> None:
-        data = document(route())
+        data = make_document(make_route())
         assert (await api.call(_PUT, data)).status == 200
         answer = await api.call(_GET)
         assert (answer.status, answer.body) == (200, data)
@@ -102,21 +102,21 @@
     async def test_the_same_or_an_older_one_is_taken_and_changes_nothing(
         self, api: Api
     ) -> None:
-        data = document(route())
+        data = make_document(make_route())
         await api.call(_PUT, data)
         assert (await api.call(_PUT, data)).status == 200
-        other = document(route(prefix="/y/"))
+        other = make_document(make_route(prefix="/y/"))
         assert (await api.call(_PUT, other)).status == 200
-        older = document(route(prefix="/z/"), version=1)
+        older = make_document(make_route(prefix="/z/"), version=1)
         assert (await api.call(_PUT, older)).status == 200
         assert (await api.call(_GET)).body == data
 
     async def test_an_invalid_one_is_refused_and_changes_nothing(
         self, api: Api
     ) -> None:
-        data = document(route())
+        data = make_document(make_route())
         await api.call(_PUT, data)
-        bad = document(route(service="nobody"), version=9)
+        bad = make_document(make_route(service="nobody"), version=9)
         answer = await api.call(_PUT, bad)
         assert answer.status == 400
         assert b"nobody" in answer.body
@@ -187,7 +187,7 @@
 class TestQuotas:
     async def test_operators_see_what_customers_use(self, api: Api) -> None:
         customer = {"name": "alice", "api_keys": ["s3cret"], "rate_per_s": 5}
-        put = document(route(), tenants=[{**customer, "burst": 7}])
+        put = make_document(make_route(), tenants=[{**customer, "burst": 7}])
         assert (await api.call(_PUT, put)).status == 200
         api.node.owner.apply_table(decode_configuration(put))
         listed = await api.call(b"/ridgesill/Quotas.List")
--- a/testing/app/test_telemetry.py
+++ b/testing/app/test_telemetry.py
@@ -74,4 +74,4 @@
         for _ in range(5000):
             kept.record_load_seconds(0.1)
         kept.replay_into(taken)
-        assert len(taken._kept) == 1000
+        assert len(taken._records) == 1000
--- a/testing/clients.py
+++ b/testing/clients.py
@@ -1,4 +1,4 @@
-"""Callers for tests: real HTTP over urllib3 or bare sockets."""
+"""HTTP clients for tests, over urllib3 or plain sockets."""
 
 import socket
 from collections.abc import Iterator
@@ -10,12 +10,12 @@
 
 from testing.processes import NodeHandle
 
-CHAT = "/v1/chat/completions"
+CHAT_PATH = "/v1/chat/completions"
 
 
 @attrs.frozen
 class CallerAnswer:
-    """An answer, read whole."""
+    """A complete answer of a node."""
 
     status: int
     headers: Any
@@ -23,17 +23,17 @@
 
     @property
     def outcome(self) -> str:
-        """What it says became of the request."""
+        """The request's outcome according to the X-Ridgesill-Outcome header."""
         return str(self.headers.get("X-Ridgesill-Outcome", ""))
 
     @property
     def error(self) -> Any:
-        """The error that it holds."""
+        """The error object in the JSON body."""
         return msgspec.json.decode(self.data)["error"]
 
     @property
     def words(self) -> list[str]:
-        """The words of a completion."""
+        """The words of the completion's content."""
         document = msgspec.json.decode(self.data)
         content: str = document["choices"][0]["message"]["content"]
         return content.split()
@@ -47,7 +47,7 @@
     headers: dict[str, str] | None = None,
     timeout: float = 30.0,
 ) -> CallerAnswer:
-    """Returns a node's answer to a caller."""
+    """Sends a request to a node's address for callers."""
     answer = urllib3.request(
         method,
         f"http://{node.callers}{path}",
@@ -60,7 +60,7 @@
 
 
 def chat_body(model: str, content: str = "hi", **fields: Any) -> bytes:
-    """Returns the body of a chat completion."""
+    """Returns the body of a chat completion request."""
     messages = [{"role": "user", "content": content}]
     return msgspec.json.encode({"model": model, "messages": messages, **fields})
 
@@ -71,18 +71,22 @@
     headers: dict[str, str] | None = None,
     **fields: Any,
 ) -> CallerAnswer:
-    """Returns the answer to a chat completion."""
+    """Sends a chat completion request to a node."""
     body = chat_body(model, **fields)
-    return request(node, "POST", CHAT, body, headers)
+    return request(node, "POST", CHAT_PATH, body, headers)
 
 
 def open_stream(
     node: NodeHandle, model: str, **fields: Any
 ) -> tuple[urllib3.BaseHTTPResponse, Iterator[bytes]]:
-    """Returns a streamed completion whose body has not been read."""
+    """Requests a streamed completion.
+
+    Returns:
+        The response, and an iterator over its unread body.
+    """
     response = urllib3.PoolManager(retries=False, timeout=30).request(
         "POST",
-        f"http://{node.callers}{CHAT}",
+        f"http://{node.callers}{CHAT_PATH}",
         body=chat_body(model, stream=True, **fields),
         preload_content=False,
     )
@@ -90,7 +94,11 @@
 
 
 def send_raw(node: NodeHandle, data: bytes, seconds: float = 10.0) -> bytes:
-    """Sends bytes on a bare socket and returns what comes until its end."""
+    """Sends bytes on a plain socket.
+
+    Returns:
+        All bytes that are received until the node closes the connection.
+    """
     host, _, port = node.callers.rpartition(":")
     received = b""
     with socket.create_connection((host, int(port)), seconds) as connection:
--- a/testing/conftest.py
+++ b/testing/conftest.py
@@ -8,7 +8,7 @@
 from bench.demo import make_configuration, make_deployment
 from testing.processes import Deployment, deployed, wait_until
 
-# Short leases keep scenarios short; their proportions are the defaults'.
+# Short leases keep scenarios short; their ratios are those of the defaults.
 SHORT_LEASES = {
     "lease": {
         "lease_seconds": 2.0,
@@ -22,12 +22,12 @@
 def make_small_deployment(
     folder: Path, settings: dict | None = None
 ) -> Deployment:
-    """Returns the demo's deployment with short leases, not started."""
+    """Returns the demo's deployment with short leases; doesn't start it."""
     return make_deployment(folder, {**SHORT_LEASES, **(settings or {})})
 
 
 def configure(deployment: Deployment) -> None:
-    """Applies the demo's configuration and waits until it is served."""
+    """Applies the demo's configuration and waits until nodes serve it."""
     wait_until(deployment.leader, "a leader")
     first = next(iter(deployment.nodes.values()))
     answer = deployment.apply(first, make_configuration())
@@ -37,7 +37,7 @@
 
 @pytest.fixture(scope="module")
 def serving(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Deployment]:
-    """A small deployment that serves; for tests that leave it as it is."""
+    """A running small deployment, shared by tests that don't change it."""
     limits = {"limits": {"body_bytes": 65536, "client_seconds": 2}}
     deployment = make_small_deployment(
         tmp_path_factory.mktemp("serving"), limits
@@ -49,7 +49,7 @@
 
 @pytest.fixture
 def small(tmp_path: Path) -> Iterator[Deployment]:
-    """A small deployment of its own for a test that breaks it."""
+    """A running small deployment for a single test that disrupts it."""
     deployment = make_small_deployment(tmp_path)
     with deployed(deployment):
         configure(deployment)
--- a/testing/platform/__init__.py
+++ b/testing/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the adapter to the users' platform."""
+"""Tests of the adapter to the platform."""
--- a/testing/platform/test_configuration.py
+++ b/testing/platform/test_configuration.py
@@ -1,11 +1,11 @@
-"""Tests of what the platform's documents are taken for."""
+"""Tests of decoding the platform's documents, calls and settings."""
 
 import time
 from typing import Any
 
 import msgspec
 import pytest
-from hypothesis import given as drawn
+from hypothesis import given as hypothesis_given
 from hypothesis import strategies as st
 
 from ridgesill.core.serving.customers import Customer, Quota, digest_key
@@ -25,8 +25,8 @@
 from ridgesill.ports.http import HttpRequest
 
 
-def route(**fields: Any) -> dict[str, Any]:
-    """Returns a route as the operator sends it."""
+def make_route(**fields: Any) -> dict[str, Any]:
+    """Returns a route in the format of the configuration document."""
     return {
         "name": "r1",
         "host": "a.example",
@@ -41,8 +41,8 @@
     }
 
 
-def document(*routes: dict[str, Any], **fields: Any) -> bytes:
-    """Returns a configuration as the operator sends it."""
+def make_document(*routes: dict[str, Any], **fields: Any) -> bytes:
+    """Returns an encoded configuration document with two services."""
     services = [
         {"name": "s1", "health_path": "/health", "connection_limit": 9},
         {"name": "s2", "health_path": "/health", "connection_limit": 9},
@@ -54,39 +54,43 @@
 
 class TestConfiguration:
     def test_milliseconds_become_seconds(self) -> None:
-        table = decode_configuration(document(route()))
-        found = table.find("a.example", "/x/1")
-        assert (table.version, found.timeout, found.goal) == (3, 1.0, 0.2)
+        table = decode_configuration(make_document(make_route()))
+        decoded = table.find("a.example", "/x/1")
+        assert (table.version, decoded.timeout, decoded.goal) == (3, 1.0, 0.2)
 
-    def test_a_split_has_weights(self) -> None:
+    def test_split_targets_have_weights(self) -> None:
         split = [{"service": "s1", "weight": 9}, {"service": "s2", "weight": 1}]
-        given = route(split=split)
-        del given["service"]
-        found = decode_configuration(document(given)).find("a.example", "/x/")
-        assert found.targets == (Target("s1", 9), Target("s2", 1))
+        route = make_route(split=split)
+        del route["service"]
+        decoded = decode_configuration(make_document(route)).find(
+            "a.example", "/x/"
+        )
+        assert decoded.targets == (Target("s1", 9), Target("s2", 1))
 
     @pytest.mark.parametrize(
         ("data", "named"),
         [
-            (document(route())[:-7], "JSON"),
-            (document(route(service="s9")), "s9"),
-            (document(route(), route(name="r2")), "r2"),
-            (document(route(timeout_ms=0)), "timeout_ms"),
+            (make_document(make_route())[:-7], "JSON"),
+            (make_document(make_route(service="s9")), "s9"),
+            (make_document(make_route(), make_route(name="r2")), "r2"),
+            (make_document(make_route(timeout_ms=0)), "timeout_ms"),
             (
-                document(route(split=[{"service": "s1", "weight": 0}])),
+                make_document(
+                    make_route(split=[{"service": "s1", "weight": 0}])
+                ),
                 "weights",
             ),
-            (document(route(kind="odd")), "kind"),
+            (make_document(make_route(kind="odd")), "kind"),
             (b"[]", "object"),
         ],
     )
-    def test_what_is_invalid_is_named(self, data: bytes, named: str) -> None:
+    def test_error_names_what_is_invalid(self, data: bytes, named: str) -> None:
         with pytest.raises(InvalidConfigurationError, match=named):
             decode_configuration(data)
 
 
-class TestCalls:
-    def test_an_invalid_document_is_a_bad_call(self) -> None:
+class TestControlCalls:
+    def test_invalid_document_becomes_bad_call(self) -> None:
         request = HttpRequest(
             b"POST", b"/ridgesill/Configuration.Put", (), b"{}"
         )
@@ -94,14 +98,14 @@
         assert isinstance(call, BadCall)
         assert call.status == 400
 
-    def test_a_valid_one_keeps_its_bytes(self) -> None:
-        data = document(route())
+    def test_valid_document_keeps_its_bytes(self) -> None:
+        body = make_document(make_route())
         request = HttpRequest(
-            b"POST", b"/ridgesill/Configuration.Put", (), data
+            b"POST", b"/ridgesill/Configuration.Put", (), body
         )
-        assert PlatformControlCalls().read(request) == PutRoutesCall(3, data)
+        assert PlatformControlCalls().read(request) == PutRoutesCall(3, body)
 
-    def test_an_adapter_s_version(self) -> None:
+    def test_adapter_version_names_the_artifact(self) -> None:
         body = b'{"model": "m", "adapter": "a1", "version": 4}'
         request = HttpRequest(b"POST", b"/ridgesill/version-put", (), body)
         call = PlatformControlCalls().read(request)
@@ -109,7 +113,7 @@
 
 
 class TestUpstreams:
-    def test_a_heartbeat(self) -> None:
+    def test_heartbeat_is_decoded(self) -> None:
         body = msgspec.json.encode(
             {
                 "service": "s1",
@@ -127,11 +131,11 @@
         assert heartbeat.gone_in == 1.5
         assert heartbeat.resident == {"m": 1, "m/a1": 2}
 
-    def test_a_heartbeat_that_lacks_a_field(self) -> None:
+    def test_heartbeat_without_a_field_is_rejected(self) -> None:
         with pytest.raises(MalformedError, match="service"):
             read_heartbeat("i-1", b"{}")
 
-    def test_a_report_s_sequence_counts_orders(self) -> None:
+    def test_report_sequence_becomes_the_revision(self) -> None:
         body = (
             b'{"models": [], "busy_slots": true, "sequence": 9,'
             b' "incoming": ["m/a3@2"]}'
@@ -142,13 +146,13 @@
 
 
 class TestSettings:
-    def test_what_is_wrong_is_named(self, tmp_path: Any) -> None:
+    def test_error_names_the_missing_field(self, tmp_path: Any) -> None:
         path = tmp_path / "local.yaml"
         path.write_text("node: n\nzone: a\nip: 10.0.0.1\n")
         with pytest.raises(PlatformSettingsError, match="internal_ports"):
             read_settings(str(path))
 
-    def test_unknown_fields_are_passed_over(self, tmp_path: Any) -> None:
+    def test_unknown_fields_are_ignored(self, tmp_path: Any) -> None:
         path = tmp_path / "local.yaml"
         path.write_text(
             "node: n\nzone: a\nip: 10.0.0.1\nnew: 1\n"
@@ -162,8 +166,10 @@
         assert settings.bounds.retry_slack == 7
 
 
-def tenant(name: str = "alice", *keys: str, **fields: Any) -> dict[str, Any]:
-    """Returns a customer as the operator sends it."""
+def make_customer(
+    name: str = "alice", *keys: str, **fields: Any
+) -> dict[str, Any]:
+    """Returns a tenant in the format of the configuration document."""
     return {"name": name, "api_keys": list(keys), **fields}
 
 
@@ -176,7 +182,7 @@
 
 
 class TestCustomers:
-    def test_a_key_names_its_customer(self) -> None:
+    def test_key_digest_finds_its_customer(self) -> None:
         quota = {
             "priority": 1,
             "unit": "tokens",
@@ -184,72 +190,83 @@
             "rate_per_s": 500,
             "burst": 700,
         }
-        given = document(route(), tenants=[tenant("alice", "k1", **quota)])
-        customers = decode_configuration(given).customers
+        configuration = make_document(
+            make_route(), tenants=[make_customer("alice", "k1", **quota)]
+        )
+        customers = decode_configuration(configuration).customers
         assert customers is not None
         expected = Customer("alice", 1, Quota(500.0, 700.0, True, 200))
         assert customers.find(digest_key(b"k1")) == expected
 
-    def test_without_customers_nobody_needs_a_key(self) -> None:
-        assert decode_configuration(document(route())).customers is None
+    def test_no_tenants_field_means_no_customers(self) -> None:
+        assert (
+            decode_configuration(make_document(make_route())).customers is None
+        )
 
-    def test_a_limit_of_nothing_is_none(self) -> None:
-        given = document(route(), tenants=[tenant("alice", "k1")])
-        customers = decode_configuration(given).customers
+    def test_zero_rate_means_no_quota(self) -> None:
+        configuration = make_document(
+            make_route(), tenants=[make_customer("alice", "k1")]
+        )
+        customers = decode_configuration(configuration).customers
         assert customers is not None
         assert not customers.quotas
 
-    def test_a_route_may_be_public(self) -> None:
-        table = decode_configuration(document(route(public=True)))
-        found = table.find("a.example", "/x/1")
-        assert found is not None
-        assert found.is_public
+    def test_route_may_be_public(self) -> None:
+        table = decode_configuration(make_document(make_route(public=True)))
+        decoded = table.find("a.example", "/x/1")
+        assert decoded is not None
+        assert decoded.is_public
 
     @pytest.mark.parametrize(
         "tenants",
         [
-            [tenant("alice", "k1"), tenant("bob", "k1")],
-            [tenant("alice", "k1"), tenant("alice", "k2")],
-            [tenant("alice", "")],
-            [tenant("alice", "a b")],
-            [tenant("alice", "k\n")],
-            [tenant("alice", "x" * 257)],
-            [tenant("", "k1")],
-            [tenant("a\r\nb", "k1")],
-            [tenant("alice", "k1", rate_per_s=-1)],
-            [tenant("alice", "k1", rate_per_s="9")],
-            [tenant("alice", "k1", unit="bytes")],
+            [make_customer("alice", "k1"), make_customer("bob", "k1")],
+            [make_customer("alice", "k1"), make_customer("alice", "k2")],
+            [make_customer("alice", "")],
+            [make_customer("alice", "a b")],
+            [make_customer("alice", "k\n")],
+            [make_customer("alice", "x" * 257)],
+            [make_customer("", "k1")],
+            [make_customer("a\r\nb", "k1")],
+            [make_customer("alice", "k1", rate_per_s=-1)],
+            [make_customer("alice", "k1", rate_per_s="9")],
+            [make_customer("alice", "k1", unit="bytes")],
             [{"name": "alice", "api_keys": "k1"}],
             ["alice"],
             "alice",
         ],
     )
-    def test_what_makes_no_sense_is_refused(self, tenants: Any) -> None:
+    def test_invalid_tenants_are_rejected(self, tenants: Any) -> None:
         with pytest.raises(InvalidConfigurationError, match="nothing was"):
-            decode_configuration(document(route(), tenants=tenants))
+            decode_configuration(make_document(make_route(), tenants=tenants))
 
-    def test_no_error_shows_a_key(self) -> None:
-        tenants = [tenant("alice", "s3cret"), tenant("bob", "s3cret")]
+    def test_errors_never_contain_a_key(self) -> None:
+        tenants = [
+            make_customer("alice", "s3cret"),
+            make_customer("bob", "s3cret"),
+        ]
         with pytest.raises(InvalidConfigurationError) as caught:
-            decode_configuration(document(route(), tenants=tenants))
+            decode_configuration(make_document(make_route(), tenants=tenants))
         assert "s3cret" not in str(caught.value)
         assert "alice" in str(caught.value)
 
-    @drawn(st.recursive(_SCALARS, _nest, max_leaves=8))
-    def test_any_other_document_is_refused_or_read(self, tenants: Any) -> None:
+    @hypothesis_given(st.recursive(_SCALARS, _nest, max_leaves=8))
+    def test_arbitrary_tenants_are_decoded_or_rejected(
+        self, tenants: Any
+    ) -> None:
         try:
-            decode_configuration(document(route(), tenants=tenants))
+            decode_configuration(make_document(make_route(), tenants=tenants))
         except InvalidConfigurationError as error:
             assert "nothing was changed" in str(error)
 
-    def test_ten_thousand_customers_decode_in_time(self) -> None:
+    def test_ten_thousand_customers_decode_within_four_seconds(self) -> None:
         tenants = [
-            tenant(f"c{n}", *(f"key-{n}-{k}" for k in range(50)))
+            make_customer(f"c{n}", *(f"key-{n}-{k}" for k in range(50)))
             for n in range(10_000)
         ]
-        given = document(route(), tenants=tenants)
+        configuration = make_document(make_route(), tenants=tenants)
         began = time.process_time()
-        decode_configuration(given)
-        # A fifth of the shortest time in which a change must be in force,
-        # on a core that is shared with another process.
+        decode_configuration(configuration)
+        # The limit is a fifth of the shortest time within which a change must
+        # be in force; it assumes a core shared with another process.
         assert time.process_time() - began < 4.0
--- a/testing/platform/test_deploy.py
+++ b/testing/platform/test_deploy.py
@@ -1,4 +1,4 @@
-"""Tests that the deploy file says what the program does."""
+"""Tests that the deploy file agrees with the program."""
 
 import tomllib
 from pathlib import Path
@@ -8,8 +8,8 @@
 from ridgesill.app.cli import Commands
 from ridgesill.platform import settings
 
-_FILE = Path(__file__).parents[2] / "deploy" / "system.toml"
-_ROLES = tomllib.loads(_FILE.read_text())["roles"]
+_DEPLOY_FILE = Path(__file__).parents[2] / "deploy" / "system.toml"
+_ROLES = tomllib.loads(_DEPLOY_FILE.read_text())["roles"]
 
 
 class TestDeployFile:
@@ -20,7 +20,9 @@
         assert hasattr(Commands, words[3])
 
     @pytest.mark.parametrize("role", _ROLES)
-    def test_figures_are_where_it_says(self, role: str) -> None:
+    def test_metrics_are_served_at_the_stated_port_and_path(
+        self, role: str
+    ) -> None:
         port, _, path = _ROLES[role]["metrics"].partition("/")
         assert int(port) == settings._METRICS_PORT
         assert f"/{path}" == settings.METRICS_PATH
--- a/testing/platform/test_known_fields.py
+++ b/testing/platform/test_known_fields.py
@@ -1,6 +1,7 @@
-"""Words of upstreams that nothing reads are found, and the page lists all.
+"""Tests that unknown names are found and that the page lists the known ones.
 
-A header by which upstreams named a limit passed unread, and no log told.
+A header that is neither used nor reported goes unnoticed, even if an upstream
+asks for a request rate limit with it.
 """
 
 import re
@@ -9,35 +10,39 @@
 import pytest
 
 from ridgesill.platform.known_fields import (
-    HEADERS,
     HEARTBEAT_FIELDS,
+    KNOWN_HEADERS,
     REPORT_FIELDS,
 )
 from ridgesill.platform.requests import PlatformDialect
 from ridgesill.platform.upstreams import PlatformEngines, read_heartbeat
 from ridgesill.ports.http import ResponseHead
 
-_PAGE = Path(__file__).parents[2] / "docs" / "reference" / "upstream-words.md"
+_REFERENCE_PAGE = (
+    Path(__file__).parents[2] / "docs" / "reference" / "upstream-words.md"
+)
 _HEARTBEAT = (
     b'{"service":"s","address":"10.0.0.1:80","zone":"a","slots":4,'
     b'"state":"ready","sequence":1%s}'
 )
 
 
-def read_table(title: str) -> set[str]:
-    """Returns the words in the first column of a table of the page."""
-    section = _PAGE.read_text().split(f"## {title}\n")[1].split("\n## ")[0]
+def read_names_in_table(title: str) -> set[str]:
+    """Returns the names in the first column of a section's table."""
+    section = (
+        _REFERENCE_PAGE.read_text().split(f"## {title}\n")[1].split("\n## ")[0]
+    )
     rows = [line.split("|")[1] for line in section.splitlines() if "|" in line]
-    return {word for row in rows for word in re.findall(r"`([^`]+)`", row)}
+    return {name for row in rows for name in re.findall(r"`([^`]+)`", row)}
 
 
-class TestUnknownWords:
-    def test_a_header_that_nothing_reads_is_found(self) -> None:
+class TestUnknownNames:
+    def test_unknown_upstream_header_is_found(self) -> None:
         headers = ((b"server-stamp", b"s"), (b"server-mood", b"sad"))
         head = ResponseHead(200, headers)
         assert PlatformDialect().find_unknown_headers(head) == ("server-mood",)
 
-    def test_usual_headers_are_known(self) -> None:
+    def test_known_and_ordinary_headers_are_not_reported(self) -> None:
         headers = (
             (b"server-stamp", b"s"),
             (b"server-leaving", b"1"),
@@ -50,25 +55,28 @@
     @pytest.mark.parametrize(
         ("more", "unknown"), [(b"", ()), (b',"mood":"sad"', ("mood",))]
     )
-    def test_a_field_of_a_heartbeat(
+    def test_unknown_heartbeat_field_is_found(
         self, more: bytes, unknown: tuple[str, ...]
     ) -> None:
         assert read_heartbeat("u1", _HEARTBEAT % more).unknown == unknown
 
-    def test_a_field_of_a_report(self) -> None:
+    def test_unknown_report_field_is_found(self) -> None:
         report = PlatformEngines().read_report(b'{"sequence":1,"mood":[1]}')
         assert report.unknown == ("mood",)
 
 
-class TestPage:
-    def test_it_lists_the_known_headers(self) -> None:
+class TestReferencePage:
+    def test_lists_all_known_headers(self) -> None:
         listed = {
-            word
-            for word in read_table("In the heads of answers")
-            if word.startswith("server-")
+            name
+            for name in read_names_in_table("In the heads of answers")
+            if name.startswith("server-")
         }
-        assert listed == {name.decode() for name in HEADERS}
+        assert listed == {name.decode() for name in KNOWN_HEADERS}
 
-    def test_it_lists_the_known_fields(self) -> None:
-        assert read_table("In heartbeats") - {"draining"} == HEARTBEAT_FIELDS
-        assert read_table("In reports") == REPORT_FIELDS
+    def test_lists_all_known_fields(self) -> None:
+        assert (
+            read_names_in_table("In heartbeats") - {"draining"}
+            == HEARTBEAT_FIELDS
+        )
+        assert read_names_in_table("In reports") == REPORT_FIELDS
--- a/testing/platform/test_requests.py
+++ b/testing/platform/test_requests.py
@@ -1,4 +1,4 @@
-"""Tests of what goes on to an upstream, whatever a client sends."""
+"""Tests of the headers that are forwarded to, and read from, upstreams."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -12,7 +12,7 @@
 from ridgesill.ports.http import Headers, HttpRequest, ResponseHead
 from testing.app.front_world import Call, FrontWorld
 
-RESERVED = (
+RESERVED_HEADERS = (
     "Hold",
     "Pin-Duration",
     "Kv-Backup",
@@ -24,11 +24,11 @@
     "Credential",
     "Tenant",
 )
-IDENTITY = ("Request-Id", "Model", "Token-Counts", "Prompt-Prefix")
+IDENTITY_HEADERS = ("Request-Id", "Model", "Token-Counts", "Prompt-Prefix")
 
 
-def forward(*headers: tuple[str, str]) -> Headers:
-    """Returns the headers that reach an upstream."""
+def forward_with_headers(*headers: tuple[str, str]) -> Headers:
+    """Returns the headers forwarded to an upstream for a client's headers."""
     given = tuple((n.lower().encode(), v.encode()) for n, v in headers)
     request = HttpRequest(b"POST", b"/x", given, b"body")
     return (
@@ -44,7 +44,7 @@
 
 @pytest.fixture
 async def world() -> AsyncIterator[FrontWorld]:
-    """Returns a front without upstreams."""
+    """Yields a started front without upstreams."""
     made = FrontWorld()
     await made.start()
     yield made
@@ -52,22 +52,23 @@
 
 
 class TestReservedHeaders:
-    @pytest.mark.parametrize("name", RESERVED)
-    def test_a_client_can_t_set_one(self, name: str) -> None:
-        # Four of them travelled on; engines refused such requests, and plain
-        # services ran them.
-        sent = forward((name, "smuggled"), (name.upper(), "again"))
+    @pytest.mark.parametrize("name", RESERVED_HEADERS)
+    def test_client_values_are_dropped(self, name: str) -> None:
+        # If a client's reserved header is forwarded, an engine rejects the
+        # request and a plain service runs it.
+        sent = forward_with_headers((name, "smuggled"), (name.upper(), "again"))
         assert b"smuggled" not in [value for _, value in sent]
         assert b"again" not in [value for _, value in sent]
 
     @pytest.mark.parametrize("path", ["/safe/x", "/unsafe/x"])
-    async def test_none_reaches_an_upstream_in_any_place(
+    async def test_no_variant_of_a_reserved_header_reaches_an_upstream(
         self, world: FrontWorld, path: str
     ) -> None:
         upstream = await world.add("u1", answer_ok)
         client = await world.open()
         smuggled = "".join(
-            f"{name}: 1\r\n{name.swapcase()}:\t2\r\n" for name in RESERVED
+            f"{name}: 1\r\n{name.swapcase()}:\t2\r\n"
+            for name in RESERVED_HEADERS
         )
         client.writer.write(
             f"POST {path} HTTP/1.1\r\nHost: a.example\r\nRequest-Id: r1\r\n"
@@ -82,7 +83,7 @@
             assert name not in call.head.lower()
         assert call.header("expect-instance") == "u1"
 
-    async def test_the_next_request_of_the_channel_is_untouched(
+    async def test_next_request_on_the_connection_is_unaffected(
         self, world: FrontWorld
     ) -> None:
         upstream = await world.add("u1", answer_ok)
@@ -93,7 +94,7 @@
         assert [call.body for call in upstream.calls] == [b"one", b"two"]
 
 
-class TestCallers:
+class TestCallerKeys:
     @pytest.mark.parametrize(
         "sent",
         [
@@ -103,7 +104,7 @@
             (("Credential", "k1"), ("Credential", "k2")),
         ],
     )
-    def test_none_or_several_keys_are_no_key(
+    def test_missing_or_repeated_key_is_ignored(
         self, sent: tuple[tuple[str, str], ...]
     ) -> None:
         headers = tuple((n.lower().encode(), v.encode()) for n, v in sent)
@@ -113,39 +114,43 @@
         assert facts.key_digest == b""
 
     @pytest.mark.parametrize("key", [b"k1", b"\xff\x00", b"x" * 16_000])
-    def test_any_bytes_may_be_tried_as_a_key(self, key: bytes) -> None:
+    def test_any_bytes_are_accepted_as_a_key(self, key: bytes) -> None:
         request = HttpRequest(b"GET", b"/x", ((b"credential", key),))
         facts = PlatformDialect().read_request(request)
         assert facts.key_digest == digest_key(key)
 
-    def test_an_upstream_learns_the_customer_from_this_side_only(self) -> None:
+    def test_only_the_front_sets_the_customer(self) -> None:
         headers = (
             (b"tenant", b"mallory"),
             (b"credential", b"k1"),
             (b"connection", b"tenant, credential"),
         )
-        terms = ForwardOptions("u1", 1.0, customer="alice")
+        options = ForwardOptions("u1", 1.0, customer="alice")
         request = HttpRequest(b"GET", b"/x", headers)
-        sent = PlatformDialect().write_upstream_request(request, terms).headers
+        sent = (
+            PlatformDialect().write_upstream_request(request, options).headers
+        )
         assert [v for n, v in sent if n == b"tenant"] == [b"alice"]
         assert b"k1" not in [v for _, v in sent]
 
 
-class TestIdentity:
-    @pytest.mark.parametrize("name", IDENTITY)
-    def test_a_client_can_t_have_it_dropped(self, name: str) -> None:
-        # A name in `Connection` concerns the channel only and is dropped.
-        sent = forward(("Connection", f"close, {name}"), (name, "own"))
+class TestIdentityHeaders:
+    @pytest.mark.parametrize("name", IDENTITY_HEADERS)
+    def test_forwarded_even_if_listed_in_connection(self, name: str) -> None:
+        # Headers that `Connection` lists are hop-by-hop and usually dropped.
+        sent = forward_with_headers(
+            ("Connection", f"close, {name}"), (name, "own")
+        )
         assert (name.lower().encode(), b"own") in sent
 
-    def test_others_in_any_connection_header_are_dropped(self) -> None:
-        sent = forward(
+    def test_other_headers_in_any_connection_header_are_dropped(self) -> None:
+        sent = forward_with_headers(
             ("Connection", "close"), ("Connection", "X-Hop"), ("X-Hop", "1")
         )
         assert not [name for name, _ in sent if name == b"x-hop"]
 
 
-class TestRests:
+class TestRetryAfter:
     @pytest.mark.parametrize(
         ("asked", "rest"),
         [
@@ -159,7 +164,7 @@
             (b"9" * 400, 0.0),
         ],
     )
-    def test_seconds_are_granted_up_to_a_minute(
+    def test_rest_is_limited_to_sixty_seconds(
         self, asked: bytes, rest: float
     ) -> None:
         head = ResponseHead(503, ((b"retry-after", asked),))
@@ -167,23 +172,23 @@
         assert word.rest == pytest.approx(rest)
         assert bool(word.unread) == (rest in (0.0, 60.0))
 
-    def test_only_a_503_asks_for_rest(self) -> None:
+    def test_retry_after_counts_only_in_a_503(self) -> None:
         head = ResponseHead(200, ((b"retry-after", b"3"),))
         assert not PlatformDialect().read_upstream_word(head).rest
 
 
-class TestWordsTogether:
-    def test_a_rest_and_a_limit(self) -> None:
+class TestUpstreamHeadersTogether:
+    def test_rest_and_limit(self) -> None:
         headers = ((b"retry-after", b"2"), (b"server-limit", b"1.8"))
         word = PlatformDialect().read_upstream_word(ResponseHead(503, headers))
         assert (word.rest, word.limit) == (2.0, 1.8)
 
-    def test_a_limit_and_leaving(self) -> None:
+    def test_leaving_and_limit(self) -> None:
         headers = ((b"server-leaving", b"1"), (b"server-limit", b"1.8"))
         word = PlatformDialect().read_upstream_word(ResponseHead(200, headers))
         assert (word.leaves, word.limit) == (True, 1.8)
 
-    def test_a_limit_of_one_that_has_another_s_address(self) -> None:
+    def test_limit_of_an_instance_at_another_one_s_address(self) -> None:
         headers = ((b"instance-id", b"i-2"), (b"server-limit", b"1.8"))
         word = PlatformDialect().read_upstream_word(ResponseHead(421, headers))
         assert (word.instance, word.limit) == ("i-2", 1.8)
@@ -194,7 +199,7 @@
         "number", ["9" * 400, "\xb2", "-1", "1e9", "\xb9,7"]
     )
     @pytest.mark.parametrize("name", ["Request-Deadline", "Token-Counts"])
-    async def test_one_that_is_none_ends_no_request(
+    async def test_invalid_number_does_not_fail_the_request(
         self, world: FrontWorld, name: str, number: str
     ) -> None:
         await world.add("u1", answer_ok)
@@ -206,11 +211,11 @@
         assert (await asyncio.wait_for(client.read(), 2.0)).status == 200
 
 
-class TestMalformed:
+class TestMalformedHeaders:
     @pytest.mark.parametrize(
         "line", ["Hold : 1", "Kv-From\x00: 1", "Ho ld: 1", ": 1", "Hold: \x00"]
     )
-    async def test_a_malformed_header_is_refused_and_nothing_is_run(
+    async def test_request_is_rejected_and_not_run(
         self, world: FrontWorld, line: str
     ) -> None:
         upstream = await world.add("u1", answer_ok)
--- a/testing/platform/test_upstreams.py
+++ b/testing/platform/test_upstreams.py
@@ -1,4 +1,4 @@
-"""Tests of what upstreams say of themselves, and of what others write."""
+"""Tests of decoding upstreams' messages, including invalid ones."""
 
 from typing import Any
 
@@ -18,7 +18,7 @@
 from ridgesill.ports.control_calls import BadCall, HeartbeatCall, LeaveCall
 from ridgesill.ports.http import HttpRequest
 
-_SAID = {
+_HEARTBEAT_FIELDS = {
     "service": "s1",
     "address": "10.0.0.1:80",
     "zone": "a",
@@ -30,38 +30,42 @@
     "sequence": 50,
     "born": 1_000,
 }
-_NEEDED = ("service", "address", "zone", "slots", "state", "sequence")
-_HEARTBEAT = b"/ridgesill/Instances.Heartbeat/"
+_REQUIRED_FIELDS = ("service", "address", "zone", "slots", "state", "sequence")
+_HEARTBEAT_PATH = b"/ridgesill/Instances.Heartbeat/"
 
 
-def say(**changes: Any) -> bytes:
-    """Returns what an upstream says, with changes."""
-    return msgspec.json.encode({**_SAID, **changes})
+def make_heartbeat(**changes: Any) -> bytes:
+    """Returns an encoded heartbeat with the given fields changed."""
+    return msgspec.json.encode({**_HEARTBEAT_FIELDS, **changes})
 
 
-def read(body: bytes, path: bytes = _HEARTBEAT + b"i-1") -> object:
-    """Returns the call that a body makes."""
+def read_call(body: bytes, path: bytes = _HEARTBEAT_PATH + b"i-1") -> object:
+    """Decodes the call with this body and path."""
     return PlatformControlCalls().read(HttpRequest(b"POST", path, (), body))
 
 
 class TestRestarts:
-    def test_one_that_starts_again_under_its_name_is_heard(self) -> None:
-        # A runner may start again under the name that it had. Its counts then
-        # begin anew, and its status reports were passed over as older than
-        # the last one of before: for as long as the name was known it stayed
-        # silent, and what it had held stayed in the books.
+    def test_heartbeats_after_a_restart_under_the_same_name_are_accepted(
+        self,
+    ) -> None:
+        # A restarted upstream keeps its identifier but counts its heartbeats
+        # from 1 again. Without the start time they look older than the last
+        # heartbeat before the restart and are ignored, so that the upstream
+        # looks silent and the artifacts it held before stay registered.
         registry = Registry(1, 5.0)
-        assert registry.handle_heartbeat(read_heartbeat("i-1", say()), 0.0)
-        again = say(born=2_000, sequence=1, models=[])
-        assert registry.handle_heartbeat(read_heartbeat("i-1", again), 1.0)
-        late = read_heartbeat("i-1", say(sequence=51))
-        assert not registry.handle_heartbeat(late, 1.1)
+        assert registry.handle_heartbeat(
+            read_heartbeat("i-1", make_heartbeat()), 0.0
+        )
+        restarted = make_heartbeat(born=2_000, sequence=1, models=[])
+        assert registry.handle_heartbeat(read_heartbeat("i-1", restarted), 1.0)
+        delayed = read_heartbeat("i-1", make_heartbeat(sequence=51))
+        assert not registry.handle_heartbeat(delayed, 1.1)
         assert [u.resident for u in registry.upstreams.values()] == [{}]
 
 
-class TestNames:
-    def test_an_order_names_what_the_upstream_answers_to(self) -> None:
-        name = read_heartbeat("i-1", say()).name
+class TestIncarnationNames:
+    def test_order_names_the_upstream_by_its_own_identifier(self) -> None:
+        name = read_heartbeat("i-1", make_heartbeat()).name
         assert name != "i-1"
         order = FleetOrder(
             Action.LOAD, name, "10.0.0.1:80", "m/a1", 0, "vm", 7, 3
@@ -70,12 +74,12 @@
         assert (b"expect-instance", b"i-1") in request.headers
         assert msgspec.json.decode(request.body)["expected_revision"] == 3
 
-    def test_a_report_tells_the_start(self) -> None:
+    def test_report_carries_the_start_time(self) -> None:
         report = PlatformEngines().read_report(b'{"sequence": 3, "born": 7}')
         assert (report.revision, report.start) == (3, 7)
 
 
-_WRONG = st.one_of(
+_INVALID_VALUES = st.one_of(
     st.none(),
     st.booleans(),
     st.lists(st.integers(), max_size=2),
@@ -84,8 +88,8 @@
 )
 
 
-class TestForeignWriters:
-    @given(field=st.sampled_from(_NEEDED), wrong=_WRONG)
+class TestInvalidMessages:
+    @given(field=st.sampled_from(_REQUIRED_FIELDS), wrong=_INVALID_VALUES)
     @example(field="state", wrong="resting")
     @example(field="sequence", wrong=-1)
     @example(field="sequence", wrong=10**400)
@@ -102,19 +106,24 @@
     @example(field="models", wrong=[{"name": "m", "adapters": ["a1@x"]}])
     @example(field="born", wrong=1.5)
     @example(field="born", wrong="1000")
-    def test_a_field_missing_or_of_another_type_is_refused_by_its_name(
+    def test_error_names_a_missing_or_invalid_field(
         self, field: str, wrong: Any
     ) -> None:
-        # Strings were made of any type, and any state but one was taken for
-        # ready; a list of models that was none ended in an error of our own.
-        call = read(say(**{field: wrong}))
+        # Guards against lenient decoding that converts any type to a string,
+        # takes every state but one for ready, and fails with an internal error
+        # if `models` is not a list.
+        call = read_call(make_heartbeat(**{field: wrong}))
         assert isinstance(call, BadCall)
         assert call.status == 400
         assert field in call.detail
         assert len(call.detail) <= 300
-        said = {name: value for name, value in _SAID.items() if name != field}
-        without = read(msgspec.json.encode(said))
-        if field in _NEEDED:
+        fields = {
+            name: value
+            for name, value in _HEARTBEAT_FIELDS.items()
+            if name != field
+        }
+        without = read_call(msgspec.json.encode(fields))
+        if field in _REQUIRED_FIELDS:
             assert isinstance(without, BadCall)
             assert field in without.detail
 
@@ -124,18 +133,21 @@
     @example(b'{"new": ' + b"[" * 100_000 + b"]" * 100_000 + b"}")
     @example(b"null")
     @example(b"9" * 10_000)
-    def test_what_cannot_be_read_is_refused(self, body: bytes) -> None:
-        # Deep nesting ended in an error of our own; any text was a name.
-        assert isinstance(read(body), BadCall)
+    def test_malformed_bodies_and_identifiers_are_rejected(
+        self, body: bytes
+    ) -> None:
+        # Guards against internal errors on deeply nested bodies, and against
+        # accepting any text as an identifier.
+        assert isinstance(read_call(body), BadCall)
         for name in (b"", b"a b", b"i\x7f", b"i" * 300, b"i/j", b"i#2"):
-            assert isinstance(read(say(), _HEARTBEAT + name), BadCall)
+            assert isinstance(
+                read_call(make_heartbeat(), _HEARTBEAT_PATH + name), BadCall
+            )
 
     @given(st.dictionaries(st.text(max_size=8), st.integers(), max_size=3))
-    def test_fields_that_are_not_known_are_passed_over(
-        self, more: dict[str, int]
-    ) -> None:
+    def test_unknown_fields_are_ignored(self, more: dict[str, int]) -> None:
         new = {f"new-{name}": value for name, value in more.items()}
-        assert isinstance(read(say(**new)), HeartbeatCall)
+        assert isinstance(read_call(make_heartbeat(**new)), HeartbeatCall)
 
     @given(st.binary(max_size=200))
     @example(b"[" * 100_000)
@@ -143,16 +155,14 @@
     @example(b'{"sequence": 7, "models": 3}')
     @example(b'{"sequence": 7, "incoming": ["m/a1@x"]}')
     @example(b'{"sequence": -1}')
-    def test_a_report_that_cannot_be_read_is_no_report(
-        self, body: bytes
-    ) -> None:
+    def test_malformed_report_is_rejected(self, body: bytes) -> None:
         with pytest.raises(MalformedError):
             PlatformEngines().read_report(body)
 
-    def test_a_departure_may_say_nothing_or_its_start(self) -> None:
+    def test_leave_body_is_empty_or_holds_the_start_time(self) -> None:
         path = b"/ridgesill/Instances.Leave/i-1"
-        assert read(b"", path) == LeaveCall("i-1", 0)
-        assert read(b'{"born": 7}', path) == LeaveCall("i-1", 7)
-        call = read(b'{"born": "7"}', path)
+        assert read_call(b"", path) == LeaveCall("i-1", 0)
+        assert read_call(b'{"born": 7}', path) == LeaveCall("i-1", 7)
+        call = read_call(b'{"born": "7"}', path)
         assert isinstance(call, BadCall)
         assert "born" in call.detail
--- a/testing/platform_world.py
+++ b/testing/platform_world.py
@@ -1,7 +1,8 @@
-"""A deployment on the platform as real processes on loopback addresses.
+"""A deployment on the platform, run as real processes on loopback addresses.
 
-Each VM is an address of 127.0.0.0/8, so that ports are alike on all of them.
-The upstream is a plain service inside the test, which sends heartbeats.
+Each VM has its own address in 127.0.0.0/8, so that all VMs use the same ports.
+The upstream is a plain service that runs in the test process and sends
+heartbeats.
 """
 
 import asyncio
@@ -22,8 +23,8 @@
 
 ROUTE_HOST = "a.example"
 _HEARTBEAT_SECONDS = 0.5
-_READY_SECONDS = 20.0
-# What the settings of each process say of keys and limits.
+_POLL_SECONDS = 20.0
+# Bounds on key revocation and quotas in the settings of each process.
 REVOKE_SECONDS = 2
 QUOTA_WINDOW_SECONDS = 8
 QUOTA_EXCESS = 0.1
@@ -31,7 +32,7 @@
 
 
 def make_document(version: int, *prefixes: str) -> bytes:
-    """Returns a configuration with a safe route for each prefix."""
+    """Returns a configuration document with one safe route per prefix."""
     routes = [
         {
             "name": f"r{number}",
@@ -55,23 +56,23 @@
 
 @attrs.define
 class Vm:
-    """A VM and the process on it."""
+    """A VM and the ridgesill process that runs on it."""
 
     name: str
     role: str
     ip: str
-    settings: Path
-    data: Path | None
+    settings_file: Path
+    data_folder: Path | None
     environment: dict[str, str] = attrs.Factory(dict)
     process: subprocess.Popen[bytes] | None = None
 
     def start(self) -> None:
-        """Starts its process; its log goes beside its settings."""
-        log = self.settings.with_suffix(".log").open("ab")
+        """Starts the process; writes its log next to its settings file."""
+        log = self.settings_file.with_suffix(".log").open("ab")
         environment = {
             **os.environ,
             **self.environment,
-            "RIDGESILL_SETTINGS": str(self.settings),
+            "RIDGESILL_SETTINGS": str(self.settings_file),
         }
         self.process = subprocess.Popen(
             [sys.executable, "-m", "ridgesill", self.role],
@@ -81,40 +82,40 @@
         )
 
     def signal(self, number: int) -> None:
-        """Sends its process a signal."""
+        """Sends a signal to the process if it runs."""
         if self.process is not None:
             self.process.send_signal(number)
 
     def kill(self) -> None:
-        """Kills its process and waits until it is gone."""
+        """Kills the process and waits until it has exited."""
         self.signal(signal.SIGKILL)
         if self.process is not None:
             self.process.wait()
             self.process = None
 
     def wipe(self) -> None:
-        """Empties its disk."""
-        if self.data is not None:
-            shutil.rmtree(self.data, ignore_errors=True)
+        """Deletes the data on the VM's disk."""
+        if self.data_folder is not None:
+            shutil.rmtree(self.data_folder, ignore_errors=True)
 
 
 class PlainUpstream:
-    """Answers every request, and tells a control node that it is there."""
+    """Answers every request, and sends heartbeats to a control node."""
 
     def __init__(self, controls: list[str]) -> None:
         self.address = free_address()
-        self.served = 0
+        self.served_requests = 0
         self.state = "ready"
         self._controls = controls
         self._sequence = 0
         self._server: asyncio.Server | None = None
-        self._beating: asyncio.Task[None] | None = None
+        self._heartbeat_task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Begins to listen and to send heartbeats."""
+        """Starts listening and sending heartbeats."""
         host, _, port = self.address.rpartition(":")
         self._server = await asyncio.start_server(self._serve, host, int(port))
-        self._beating = asyncio.create_task(self._beat())
+        self._heartbeat_task = asyncio.create_task(self._send_heartbeats())
 
     async def _serve(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -122,14 +123,14 @@
         try:
             while True:
                 await reader.readuntil(b"\r\n\r\n")
-                self.served += 1
+                self.served_requests += 1
                 writer.write(
                     b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfine"
                 )
         except (asyncio.IncompleteReadError, ConnectionError):
             writer.close()
 
-    async def _beat(self) -> None:
+    async def _send_heartbeats(self) -> None:
         while True:
             for control in self._controls:
                 if await self.send_heartbeat():
@@ -150,23 +151,29 @@
             "sequence": self._sequence,
         }
         url = f"http://{self._controls[0]}/ridgesill/Instances.Heartbeat/u1"
-        answer = await call("POST", url, msgspec.json.encode(body))
+        answer = await send_http_request("POST", url, msgspec.json.encode(body))
         return answer is not None and answer.status == 200
 
     def stop(self) -> None:
-        """Ends it."""
+        """Stops listening and sending heartbeats."""
         if self._server is not None:
             self._server.close()
-        if self._beating is not None:
-            self._beating.cancel()
+        if self._heartbeat_task is not None:
+            self._heartbeat_task.cancel()
 
 
-async def call(method: str, url: str, body: bytes = b"", **headers: str) -> Any:
-    """Returns an answer, or None if there was none within a second."""
-    return await asyncio.to_thread(_call, method, url, body, headers)
+async def send_http_request(
+    method: str, url: str, body: bytes = b"", **headers: str
+) -> Any:
+    """Sends a request; returns None without an answer within a second."""
+    return await asyncio.to_thread(
+        _send_http_request, method, url, body, headers
+    )
 
 
-def _call(method: str, url: str, body: bytes, headers: dict[str, str]) -> Any:
+def _send_http_request(
+    method: str, url: str, body: bytes, headers: dict[str, str]
+) -> Any:
     try:
         return urllib3.request(
             method,
@@ -181,47 +188,47 @@
 
 
 class PlatformDeployment:
-    """Control nodes and fronts.
+    """A deployment of control nodes, fronts and one upstream.
 
     Args:
-        folder: for settings, disks and logs.
-        controls: how many control nodes.
-        fronts: how many fronts.
+        folder: folder for settings, disks and logs.
+        controls: number of control nodes.
+        fronts: number of fronts.
     """
 
     def __init__(
         self, folder: Path, controls: int = 3, fronts: int = 2
     ) -> None:
         self._folder = folder
-        # A part of the address that no other test run uses.
-        self._net = 1 + os.getpid() % 250
+        # Second byte of all addresses; differs between concurrent test runs.
+        self._second_byte = 1 + os.getpid() % 250
         self._ports = [int(free_address().rpartition(":")[2]) for _ in range(4)]
-        self.controls = [self._make("control", n) for n in range(controls)]
-        self.fronts = [self._make("front", n) for n in range(fronts)]
+        self.controls = [self._make_vm("control", n) for n in range(controls)]
+        self.fronts = [self._make_vm("front", n) for n in range(fronts)]
         self.upstream = PlainUpstream(
             [self.control_address(vm) for vm in self.controls]
         )
         for vm in self.vms:
-            self._write(vm, first=True)
+            self._write_settings(vm, first=True)
 
     @property
     def vms(self) -> list[Vm]:
         """All VMs."""
         return [*self.controls, *self.fronts]
 
-    def _make(self, role: str, number: int) -> Vm:
-        third = 1 if role == "control" else 2
+    def _make_vm(self, role: str, number: int) -> Vm:
+        third_byte = 1 if role == "control" else 2
         name = f"{role}-{number}"
         data = self._folder / name if role == "control" else None
         return Vm(
             name,
             role,
-            f"127.{self._net}.{third}.{number + 1}",
+            f"127.{self._second_byte}.{third_byte}.{number + 1}",
             self._folder / f"{name}.yaml",
             data,
         )
 
-    def _write(self, vm: Vm, *, first: bool) -> None:
+    def _write_settings(self, vm: Vm, *, first: bool) -> None:
         front, ready, control, peers = self._ports
         if vm.role == "front":
             listen = {"front": f"{vm.ip}:{front}", "ready": f"{vm.ip}:{ready}"}
@@ -235,7 +242,7 @@
             "internal_ports": [peers, peers + 9],
             "seeds": [f"{c.ip}:{control}" for c in self.controls],
             "bootstrap": first,
-            "data_directory": str(vm.data) if vm.data else None,
+            "data_directory": str(vm.data_folder) if vm.data_folder else None,
             "tolerance": {"machines": len(self.controls) // 2},
             "heartbeat_interval_ms": 1000 * _HEARTBEAT_SECONDS,
             "bounds": {
@@ -248,38 +255,38 @@
                 "quota_slack": QUOTA_SLACK,
             },
         }
-        vm.settings.write_text(yaml.safe_dump(settings))
+        vm.settings_file.write_text(yaml.safe_dump(settings))
 
     def control_address(self, vm: Vm) -> str:
-        """Returns a control node's address for upstreams and operators."""
+        """Returns the address of a control node for upstreams and operators."""
         return f"{vm.ip}:{self._ports[2]}"
 
     async def start(self) -> None:
-        """Starts everything for the first time."""
+        """Starts all processes for the first time, and the upstream."""
         for vm in self.vms:
             vm.start()
         await self.upstream.start()
 
     def restart(self, vm: Vm) -> None:
-        """Starts a VM's process again."""
-        self._write(vm, first=False)
+        """Starts a VM's process again, no longer as a first start."""
+        self._write_settings(vm, first=False)
         vm.start()
 
     def stop(self) -> None:
-        """Ends everything."""
+        """Stops the upstream and kills all processes."""
         self.upstream.stop()
         for vm in self.vms:
             vm.kill()
 
-    # -- what operators and clients do ---------------------------------
+    # -- operators' and clients' requests ------------------------------
 
     async def put_configuration(self, document: bytes) -> None:
-        """Sends a configuration until it is acknowledged."""
+        """Sends a configuration document until it is acknowledged."""
         path = "/ridgesill/Configuration.Put"
         await self.poll(lambda: self._ask_controls("POST", path, document))
 
     async def read_version(self) -> int:
-        """Returns the version that a control node is sure of."""
+        """Returns the configuration version that a control node confirms."""
         path = "/ridgesill/Configuration.Get"
         answer = await self.poll(lambda: self._ask_controls("GET", path))
         return int(msgspec.json.decode(answer.data)["version"])
@@ -289,14 +296,14 @@
     ) -> Any:
         for vm in self.controls:
             url = f"http://{self.control_address(vm)}{path}"
-            answer = await call(method, url, body)
+            answer = await send_http_request(method, url, body)
             if answer is not None and answer.status == 200:
                 return answer
         return None
 
     async def send_request(self, front: Vm, path: str) -> Any:
-        """Sends a client's request; returns the answer or None."""
-        return await call(
+        """Sends a client's request; returns None without an answer."""
+        return await send_http_request(
             "GET",
             f"http://{front.ip}:{self._ports[0]}{path}",
             host=ROUTE_HOST,
@@ -305,29 +312,33 @@
         )
 
     async def wait_until_served(self, front: Vm, path: str) -> None:
-        """Waits until a front serves a path."""
+        """Waits until a front answers requests for a path with 200."""
 
-        async def try_once() -> Any:
+        async def request_once() -> Any:
             answer = await self.send_request(front, path)
             return answer if answer and answer.status == 200 else None
 
-        await self.poll(try_once)
+        await self.poll(request_once)
 
-    async def poll(self, attempt: Any, seconds: float = _READY_SECONDS) -> Any:
-        """Tries until something comes back; returns it."""
+    async def poll(self, attempt: Any, seconds: float = _POLL_SECONDS) -> Any:
+        """Repeats an attempt until it returns a result other than None.
+
+        Raises:
+            AssertionError: there was no result within `seconds`.
+        """
         deadline = asyncio.get_running_loop().time() + seconds
         while asyncio.get_running_loop().time() < deadline:
             result = await attempt()
             if result is not None:
                 return result
             await asyncio.sleep(0.05)
-        raise AssertionError(f"nothing within {seconds} s; {self.logs()}")
+        raise AssertionError(f"no result within {seconds} s; {self.logs()}")
 
     def logs(self) -> str:
-        """Returns the ends of all logs, for a failed test."""
+        """Returns the last 600 characters of each process's log."""
         ends = []
         for vm in self.vms:
-            path = vm.settings.with_suffix(".log")
+            path = vm.settings_file.with_suffix(".log")
             text = path.read_text(errors="replace") if path.exists() else ""
             ends.append(f"{vm.name}: {text[-600:]}")
         return "\n".join(ends)
--- a/testing/scenarios/test_named_limits.py
+++ b/testing/scenarios/test_named_limits.py
@@ -70,7 +70,7 @@
 def count_refused(world: SoakWorld, reason: str) -> int:
     """Returns the requests that fronts have refused for a reason."""
     return sum(
-        vm.settings.with_suffix(".log")
+        vm.settings_file.with_suffix(".log")
         .read_text()
         .count(f'"reason":"{reason}"')
         for vm in world.fronts
--- a/testing/scenarios/test_platform.py
+++ b/testing/scenarios/test_platform.py
@@ -8,7 +8,11 @@
 import msgspec
 import pytest
 
-from testing.platform_world import PlatformDeployment, call, make_document
+from testing.platform_world import (
+    PlatformDeployment,
+    make_document,
+    send_http_request,
+)
 
 pytestmark = pytest.mark.process
 
@@ -85,7 +89,7 @@
     front.signal(signal.SIGTERM)
     ready = f"http://{front.ip}:{deployment._ports[1]}/ridgesill/ready"
     await asyncio.sleep(0.3)
-    assert (await call("GET", ready)).status == 503
+    assert (await send_http_request("GET", ready)).status == 503
     answer = await deployment.send_request(front, "/x/1")
     assert answer.status == 200
     assert answer.headers["connection"] == "close"
@@ -101,12 +105,12 @@
     while not await deployment.upstream.send_heartbeat():
         await asyncio.sleep(0.05)
     await asyncio.sleep(1.0)
-    served = deployment.upstream.served
+    served = deployment.upstream.served_requests
     for front in deployment.fronts:
         answer = await deployment.send_request(front, "/x/1")
         assert answer.status == 503
         assert float(answer.headers["retry-after"]) > 0
-    assert deployment.upstream.served == served
+    assert deployment.upstream.served_requests == served
 
 
 async def test_every_line_of_every_process_is_json(
@@ -117,7 +121,7 @@
     for vm in deployment.vms:
         assert vm.process is not None
         await asyncio.to_thread(vm.process.wait, 8.0)
-        lines = vm.settings.with_suffix(".log").read_text().splitlines()
+        lines = vm.settings_file.with_suffix(".log").read_text().splitlines()
         kinds = [msgspec.json.decode(line)["message_type"] for line in lines]
         assert f"{vm.role}:started" in kinds
         assert f"{vm.role}:stopped" in kinds
--- a/testing/soak/__main__.py
+++ b/testing/soak/__main__.py
@@ -83,7 +83,7 @@
     kept = Path(tempfile.gettempdir()) / f"soak-{seed}"
     kept.mkdir(exist_ok=True)
     for vm in world.vms:
-        log = vm.settings.with_suffix(".log")
+        log = vm.settings_file.with_suffix(".log")
         (kept / log.name).write_bytes(log.read_bytes())
     lines = [str(fault) for fault in faults.happened]
     (kept / "faults.txt").write_text("\n".join(lines) + "\n")
--- a/testing/soak/upstreams.py
+++ b/testing/soak/upstreams.py
@@ -11,7 +11,7 @@
 
 from testing.app.engine_world import MODEL, SimulatedEngine
 from testing.app.front_world import Call, ScriptedUpstream
-from testing.platform_world import call
+from testing.platform_world import send_http_request
 
 PLACES = 4
 _HEARTBEAT_SECONDS = 0.5
@@ -217,7 +217,9 @@
         body = msgspec.json.encode(said)
         for address in self._controls:
             path = f"/ridgesill/Instances.Heartbeat/{self.name}"
-            answer = await call("POST", f"http://{address}{path}", body)
+            answer = await send_http_request(
+                "POST", f"http://{address}{path}", body
+            )
             if answer is not None and answer.status == 200:
                 return
 
--- a/testing/soak/world.py
+++ b/testing/soak/world.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from testing.platform_world import PlatformDeployment, Vm, call
+from testing.platform_world import PlatformDeployment, Vm, send_http_request
 from testing.soak.clients import (
     SAFE,
     STREAM,
@@ -230,7 +230,7 @@
         self, vm: Vm, method: str, name: str, body: bytes = b""
     ) -> Any:
         url = f"http://{self.control_address(vm)}/ridgesill/{name}"
-        answer = await call(method, url, body)
+        answer = await send_http_request(method, url, body)
         return answer if answer is not None and answer.status == 200 else None
 
     # -- recovery ------------------------------------------------------
