--- a/src/ridgesill/app/administration.py
+++ b/src/ridgesill/app/administration.py
@@ -10,11 +10,11 @@
 from ridgesill.core.declaration import Declaration
 from ridgesill.core.following import Beat
 from ridgesill.ports.administration import (
-    Applied,
+    ApplyResult,
+    ConfigurationReport,
     NodeReport,
     PoolReport,
     RunnerReport,
-    Shown,
     Status,
 )
 
@@ -46,11 +46,11 @@
         self._pools = pools
         self._drain = drain
 
-    def apply(self, operation: str, declared: Declaration) -> Applied:
+    def apply(self, operation: str, declared: Declaration) -> ApplyResult:
         """Applies a declaration; the result says whether it was accepted."""
         return self._bridge.call(self._apply(operation, declared))
 
-    def show(self) -> Shown:
+    def show(self) -> ConfigurationReport:
         """Returns a summary of the configuration in force."""
         return self._bridge.call(self._show())
 
@@ -62,7 +62,9 @@
         """Makes the node refuse new work and stop once it has none left."""
         self._bridge.post(self._drain)
 
-    async def _apply(self, operation: str, declared: Declaration) -> Applied:
+    async def _apply(
+        self, operation: str, declared: Declaration
+    ) -> ApplyResult:
         await self._catch_up(declared.based_on)
         for _ in range(_MAX_ATTEMPTS):
             command = self._build_command(operation, declared)
@@ -75,7 +77,9 @@
                     f"{error}; send the same file again to learn the result"
                 )
                 state = self._control.state
-                return Applied("unknown", state.version, state.digest, detail)
+                return ApplyResult(
+                    "unknown", state.version, state.digest, detail
+                )
             if not self._has_outdated_base(command, declared, answer):
                 return _make_applied(declared, answer)
             await self._catch_up(answer.version)
@@ -115,10 +119,10 @@
     async def _catch_up(self, version: int) -> None:
         await self._control.wait_for_version(version, _CATCH_UP_TIMEOUT_SECONDS)
 
-    async def _show(self) -> Shown:
+    async def _show(self) -> ConfigurationReport:
         state = self._control.state
         fresh = self._control.is_fresh()
-        return Shown(
+        return ConfigurationReport(
             state.version,
             state.digest,
             fresh,
@@ -183,7 +187,9 @@
     )
 
 
-def _make_applied(declared: Declaration, answer: ConfigureAnswer) -> Applied:
+def _make_applied(
+    declared: Declaration, answer: ConfigureAnswer
+) -> ApplyResult:
     if answer.verdict == CONFLICT:
         detail = (
             f"version {answer.version} is in force; this file declares "
@@ -192,4 +198,4 @@
         )
     else:
         detail = f"version {declared.version} is accepted"
-    return Applied(answer.verdict, answer.version, answer.digest, detail)
+    return ApplyResult(answer.verdict, answer.version, answer.digest, detail)
--- a/src/ridgesill/app/engine_loads.py
+++ b/src/ridgesill/app/engine_loads.py
@@ -217,7 +217,7 @@
         engine.held[artifact] = HeldArtifact(newest, now, now)
         engine.unanswered.pop(artifact, None)
         self._owner.publish_resident(engine)
-        self._orders.telemetry.note_load(now - started_at)
+        self._orders.telemetry.record_load_seconds(now - started_at)
         log_message(
             "fleet:loaded",
             upstream=engine.name,
--- a/src/ridgesill/app/engine_orders.py
+++ b/src/ridgesill/app/engine_orders.py
@@ -31,7 +31,7 @@
 )
 from ridgesill.ports.dialect import EngineCalls
 from ridgesill.ports.http import ChannelError, HttpRequest, ResponseHead
-from ridgesill.ports.telemetry import KeptTelemetry, Telemetry
+from ridgesill.ports.telemetry import BufferedTelemetry, Telemetry
 
 # Time within which an engine answers an order, in seconds. After that the
 # answer counts as lost, and another copy of the order is sent.
@@ -141,7 +141,7 @@
         self._deliver = deliver
         self._handle_later_start = handle_later_start
         self._handle_leaving = handle_leaving
-        self.telemetry: Telemetry = KeptTelemetry()
+        self.telemetry: Telemetry = BufferedTelemetry()
         self.unknown_field_log = UnknownFieldLog(lambda: self.telemetry)
         self._sent = SentOrders()
         self._locks: dict[str, asyncio.Lock] = {}
@@ -327,7 +327,7 @@
         answer = await self._deliver(order, authority)
         verdict = self._read_verdict(answer)
         outcome = verdict.value if verdict else answer.delivery.value
-        self.telemetry.note_order(order.action.value, outcome)
+        self.telemetry.record_order(order.action.value, outcome)
         log_message(
             "fleet:order",
             action=order.action.value,
@@ -405,7 +405,7 @@
 
     async def _request_report(self, engine: Engine) -> EngineReport | None:
         """Requests a report; returns None if there is no usable answer."""
-        request = self._calls.ask_report(engine.name, engine.address)
+        request = self._calls.write_report_request(engine.name, engine.address)
         try:
             async with asyncio.timeout(ORDER_TIMEOUT_SECONDS):
                 head, body = await self._exchange(engine.address, request)
--- a/src/ridgesill/app/exchange.py
+++ b/src/ridgesill/app/exchange.py
@@ -26,13 +26,13 @@
 from ridgesill.core.commands import OnceRecord
 from ridgesill.core.pool.messages import ABSENT, FAILED, FINE
 from ridgesill.ports.runner import (
-    AnswerCutError,
+    IncompleteAnswerError,
     RunnerFailure,
     RunnerRequest,
     RunnerResponse,
     Runners,
 )
-from ridgesill.ports.serving import CallerRequest, CutError, Reply
+from ridgesill.ports.serving import CallerRequest, IncompleteStreamError, Reply
 
 _MAX_ATTEMPTS = 4
 # Ends each complete stream; looked for in the last bytes only.
@@ -196,7 +196,7 @@
             return False
         if not failure.not_run and not self._request.repeatable:
             return False
-        return failure.absent or self._services.entry.retries.acquire()
+        return failure.lacks_adapter or self._services.entry.retries.acquire()
 
     def _send_attempt(
         self, admission: Admission
@@ -208,7 +208,9 @@
         )
         if isinstance(opened, Err):
             failure = opened.err_value
-            self._release(admission, ABSENT if failure.absent else FAILED)
+            self._release(
+                admission, ABSENT if failure.lacks_adapter else FAILED
+            )
             self._log_failure(failure, admission)
             return Err(failure)
         return self._receive(opened.ok_value, admission)
@@ -232,7 +234,7 @@
                 body = self._relay(response, admission, first, chunks)
                 return Ok(self._reply(response, body, admission))
             data = response.read()
-        except AnswerCutError as error:
+        except IncompleteAnswerError as error:
             response.cancel()
             self._release(admission, FAILED)
             failure = RunnerFailure(
@@ -286,11 +288,11 @@
                 self._keep_body(kept, chunk)
                 yield chunk
             if response.status == 200 and _DONE_MARK not in tail:
-                raise CutError("the runner's stream ended early")
+                raise IncompleteStreamError("the runner's stream ended early")
             outcome = calls.COMPLETED
             response.release()
-        except AnswerCutError as error:
-            raise CutError(str(error)) from error
+        except IncompleteAnswerError as error:
+            raise IncompleteStreamError(str(error)) from error
         finally:
             # This runs also when the caller disconnects: closing the
             # connection makes the runner cancel its work, and the release
--- a/src/ridgesill/app/forwarding.py
+++ b/src/ridgesill/app/forwarding.py
@@ -27,8 +27,8 @@
 from ridgesill.core.serving.rates import RateUse, weigh_priority
 from ridgesill.core.serving.routes import STREAM, Route
 from ridgesill.ports.dialect import (
-    NO_WORD,
-    ForwardTerms,
+    EMPTY_UPSTREAM_WORD,
+    ForwardOptions,
     RequestFacts,
 )
 from ridgesill.ports.http import (
@@ -418,13 +418,13 @@
             Whether it asks for a pause in requests, or for fewer requests.
         """
         dialect = self._front.dialect
-        unknown = dialect.find_unknown(head)
+        unknown = dialect.find_unknown_headers(head)
         if unknown:
             self._front.unknown_field_log.record(
                 upstream.name, upstream.address, "answer", unknown
             )
-        word = dialect.read_word(head)
-        if word == NO_WORD and not self._front.limits.known:
+        word = dialect.read_upstream_word(head)
+        if word == EMPTY_UPSTREAM_WORD and not self._front.limits.known:
             return False
         context = AnswerContext(
             self._facts.request,
@@ -462,7 +462,7 @@
         if self._splitter is not None:
             last_event = self._splitter.last_id
         now = self._loop.time()
-        terms = ForwardTerms(
+        terms = ForwardOptions(
             upstream.name,
             self._deadline - now,
             self._search.requirements().version,
@@ -470,7 +470,7 @@
             self._search.rank(now),
             self._customer.name if self._customer else "",
         )
-        forwarded = front.dialect.forward(self._request, terms)
+        forwarded = front.dialect.write_upstream_request(self._request, terms)
         max_idle_seconds = 60.0 if route.is_idempotent else _UNSAFE_IDLE_SECONDS
         channel = await front.channels.take(
             upstream.address,
@@ -532,7 +532,7 @@
         if not responder.started:
             responder.send_head(
                 head.status,
-                self._front.dialect.answer_headers(head),
+                self._front.dialect.filter_answer_headers(head),
                 head.reason,
             )
         splitter = self._splitter
@@ -568,7 +568,7 @@
         responder = self._responder
         headers = [
             (name, value)
-            for name, value in self._front.dialect.answer_headers(head)
+            for name, value in self._front.dialect.filter_answer_headers(head)
             if name != b"content-length"
         ]
         headers.append((b"content-length", b"%d" % len(body)))
@@ -582,7 +582,7 @@
     def _record_served(self, upstream: Upstream, head: ResponseHead) -> None:
         now = self._loop.time()
         self._front.chooser.outcomes.record_success(upstream.name, now)
-        if not head.tells_its_end:
+        if not head.has_delimited_body:
             # Without a length, the end of the answer can't be told from the
             # end of the upstream.
             self._suspect.record_cut(upstream)
@@ -683,7 +683,7 @@
 
     def _answer(self, status: int, retry_after: float) -> None:
         headers = (
-            self._front.dialect.retry_headers(retry_after)
+            self._front.dialect.make_retry_headers(retry_after)
             if retry_after
             else ()
         )
@@ -705,7 +705,7 @@
             else seconds
         )
         route = self._route
-        self._front.telemetry.note_end(
+        self._front.telemetry.record_request_end(
             RequestEnd(
                 route.kind if route else "",
                 self._priority(),
--- a/src/ridgesill/app/front.py
+++ b/src/ridgesill/app/front.py
@@ -19,7 +19,7 @@
 from ridgesill.core.serving.retries import RetryBounds, ServiceRetries
 from ridgesill.core.serving.routes import RouteTable
 from ridgesill.ports.dialect import Dialect
-from ridgesill.ports.telemetry import KeptTelemetry, Telemetry
+from ridgesill.ports.telemetry import BufferedTelemetry, Telemetry
 
 
 class Front:
@@ -64,7 +64,7 @@
         )
         self.in_progress = 0
         self.request_counts: dict[str, int] = {}
-        self.telemetry: Telemetry = KeptTelemetry()
+        self.telemetry: Telemetry = BufferedTelemetry()
         self.unknown_field_log = UnknownFieldLog(lambda: self.telemetry)
         # Signals that routes or upstreams have become known or have changed.
         self.discovery_signal = ChangeSignal()
--- a/src/ridgesill/app/front_process.py
+++ b/src/ridgesill/app/front_process.py
@@ -79,7 +79,7 @@
         self.fleet = FleetClient(
             self._peers,
             self.control.leader_address,
-            settings.peers,
+            settings.peer_address,
             self._make_usage_report,
             settings.seeds,
             self._relay_address,
@@ -91,19 +91,22 @@
             UpstreamChannels(CONNECT_TIMEOUT_SECONDS),
             PlatformDialect(),
             RetryBounds(
-                bounds.retry_share, bounds.retry_slack, bounds.retry_window
+                bounds.retry_share,
+                bounds.retry_slack,
+                bounds.retry_window_seconds,
             ),
             self.control.freshness,
-            bounds.revocation * _REVOCATION_SHARE,
+            bounds.revocation_seconds * _REVOCATION_SHARE,
             settings.vm,
         )
         self.fleet.add_listener(self.front.discovery_signal.notify)
         self.fleet.add_listener(self._apply_fleet_news)
         self._client_listener = HttpListener(
-            settings.callers, functools.partial(serve_request, self.front)
+            settings.client_address,
+            functools.partial(serve_request, self.front),
         )
         self._readiness_listener = HttpListener(
-            settings.readiness, self._answer_readiness
+            settings.readiness_address, self._answer_readiness
         )
 
     def _apply_fleet_news(self) -> None:
@@ -203,7 +206,7 @@
             self._prune_regularly(),
             self.front.quarantine.run(self.control.propose),
             serve_metrics(
-                self._settings.metrics,
+                self._settings.metrics_address,
                 METRICS_PATH,
                 Instruments(self._gauges(), self._swap_telemetry),
             ),
@@ -214,7 +217,7 @@
             "front:started",
             vm=self._settings.vm,
             data_centre=self._settings.data_centre,
-            peers=self._settings.peers,
+            peers=self._settings.peer_address,
         )
         stopping = self._loop.create_task(self._stopping.wait())
         await asyncio.wait(
@@ -270,7 +273,9 @@
 
     async def _finish_requests(self) -> None:
         began = self._loop.time()
-        deadline = began + self._settings.bounds.grace - _GRACE_MARGIN_SECONDS
+        deadline = (
+            began + self._settings.bounds.grace_seconds - _GRACE_MARGIN_SECONDS
+        )
         self.front.refuses_from = began + _REFUSE_AFTER_SECONDS
         self.front.stops_at = deadline
         self._client_listener.drain()
--- a/src/ridgesill/app/order_holder.py
+++ b/src/ridgesill/app/order_holder.py
@@ -83,7 +83,7 @@
     channels: UpstreamChannels, calls: EngineCalls, order: FleetOrder
 ) -> OrderAnswer:
     """Sends an order to its engine and returns the outcome."""
-    request = calls.write_order(order)
+    request = calls.write_order_request(order)
     try:
         async with asyncio.timeout(ORDER_TIMEOUT_SECONDS):
             exchange = await channels.send(order.address, request)
--- a/src/ridgesill/app/platform_node.py
+++ b/src/ridgesill/app/platform_node.py
@@ -28,9 +28,9 @@
         voter: voting identity; empty for a node that does not vote.
     """
     return Node(
-        settings.peers,
+        settings.peer_address,
         secrets.token_hex(4),
-        settings.peers,
+        settings.peer_address,
         settings.data_centre,
         voter,
     )
--- a/src/ridgesill/app/telemetry.py
+++ b/src/ridgesill/app/telemetry.py
@@ -15,7 +15,7 @@
 
 from ridgesill.adapters.http1.server import HttpListener
 from ridgesill.ports.http import HttpRequest, Responder
-from ridgesill.ports.telemetry import KeptTelemetry, Telemetry
+from ridgesill.ports.telemetry import BufferedTelemetry, Telemetry
 
 # Imported one at a time, so that requests are handled in between.
 _MODULES = (
@@ -63,8 +63,8 @@
         for name, read in self._gauges.items():
             metrics.watch(name, read)
         previous = self._replace_telemetry(metrics)
-        if isinstance(previous, KeptTelemetry):
-            previous.hand_over(metrics)
+        if isinstance(previous, BufferedTelemetry):
+            previous.replay_into(metrics)
         self._instruments = metrics
         log_message("metrics:made")
 
--- a/src/ridgesill/app/upstream_words.py
+++ b/src/ridgesill/app/upstream_words.py
@@ -14,7 +14,7 @@
 from ridgesill.core.fleet.messages import READY, HeardLeave, Upstream
 from ridgesill.core.serving.front_limits import FrontLimits
 from ridgesill.core.serving.unavailable import Unavailable
-from ridgesill.ports.dialect import NO_WORD, UpstreamWord
+from ridgesill.ports.dialect import EMPTY_UPSTREAM_WORD, UpstreamWord
 
 # Lowest status that isn't a success.
 _REDIRECT = 300
@@ -67,7 +67,9 @@
         """
         now = self._loop.time()
         is_news = self._record_limit(upstream, word, context, now)
-        if is_news or word != attrs.evolve(NO_WORD, limit=word.limit):
+        if is_news or word != attrs.evolve(
+            EMPTY_UPSTREAM_WORD, limit=word.limit
+        ):
             self._log(upstream, word, context)
         if word.rest:
             self._unavailable.record_rest(upstream.name, now + word.rest)
--- a/testing/app/test_front_process.py
+++ b/testing/app/test_front_process.py
@@ -57,7 +57,7 @@
     def make_front(self, listener: HttpListener) -> FrontProcess:
         """Returns a front that has only what it needs to stop."""
         front = object.__new__(FrontProcess)
-        bounds = types.SimpleNamespace(grace=8.0)
+        bounds = types.SimpleNamespace(grace_seconds=8.0)
         front._settings = types.SimpleNamespace(bounds=bounds)  # type: ignore[assignment]
         front._loop = asyncio.get_running_loop()
         front._client_listener = listener
--- a/testing/app/test_telemetry.py
+++ b/testing/app/test_telemetry.py
@@ -8,7 +8,7 @@
 
 from ridgesill.app import telemetry
 from ridgesill.app.telemetry import Instruments
-from ridgesill.ports.telemetry import KeptTelemetry, RequestEnd, Telemetry
+from ridgesill.ports.telemetry import BufferedTelemetry, RequestEnd, Telemetry
 
 END = RequestEnd("stream", 0, "served", "", 0.5, 0.1, 0.0, 1)
 
@@ -17,7 +17,7 @@
     """A process that keeps observations until instruments replace them."""
 
     def __init__(self) -> None:
-        self.telemetry: Telemetry = KeptTelemetry()
+        self.telemetry: Telemetry = BufferedTelemetry()
 
     def swap(self, instruments: Telemetry) -> Telemetry:
         """Installs the instruments and returns the telemetry before them."""
@@ -33,9 +33,9 @@
         instruments = Instruments(
             {"ridgesill_answer": lambda: 42.0}, process.swap
         )
-        process.telemetry.note_end(END)
-        process.telemetry.note_load(0.3)
-        process.telemetry.note_order("load", "taken")
+        process.telemetry.record_request_end(END)
+        process.telemetry.record_load_seconds(0.3)
+        process.telemetry.record_order("load", "taken")
         text = (await instruments.render()).decode()
         assert "ridgesill_answer 42.0" in text
         assert 'outcome="served"' in text
@@ -45,9 +45,9 @@
     async def test_each_observation_is_counted_once(self) -> None:
         process = FakeProcess()
         instruments = Instruments({}, process.swap)
-        process.telemetry.note_load(0.3)
+        process.telemetry.record_load_seconds(0.3)
         await instruments.render()
-        process.telemetry.note_load(0.4)
+        process.telemetry.record_load_seconds(0.4)
         text = (await instruments.render()).decode()
         assert "ridgesill_adapter_load_seconds_count 2.0" in text
 
@@ -71,8 +71,8 @@
         assert set(threads) == {threading.main_thread()}
 
     def test_only_the_latest_1000_observations_are_kept(self) -> None:
-        kept, receiver = KeptTelemetry(), KeptTelemetry()
+        kept, receiver = BufferedTelemetry(), BufferedTelemetry()
         for _ in range(5000):
-            kept.note_load(0.1)
-        kept.hand_over(receiver)
-        assert len(receiver._kept) == 1000
+            kept.record_load_seconds(0.1)
+        kept.replay_into(receiver)
+        assert len(receiver._records) == 1000
--- a/testing/app/test_unknown_field_log.py
+++ b/testing/app/test_unknown_field_log.py
@@ -3,18 +3,18 @@
 import eliot.testing
 
 from ridgesill.app.unknown_field_log import UnknownFieldLog
-from ridgesill.ports.telemetry import KeptTelemetry
+from ridgesill.ports.telemetry import BufferedTelemetry
 from testing.app.front_world import Call, FrontWorld
 
 
-class CountingTelemetry(KeptTelemetry):
+class CountingTelemetry(BufferedTelemetry):
     """Telemetry that records the names that it counts."""
 
     def __init__(self) -> None:
         super().__init__()
         self.unknown_field_log: list[str] = []
 
-    def note_unknown_word(self, word: str) -> None:
+    def record_unknown_field(self, word: str) -> None:
         """Records the name."""
         self.unknown_field_log.append(word)
 
