--- a/bench/limits.py
+++ b/bench/limits.py
@@ -14,7 +14,7 @@
 from ridgesill.core.serving.customers import Quota
 from ridgesill.core.serving.rates import FrontRates, LocalBucket, RateState
 from ridgesill.standin.emulator.quotas import (
-    FrontPart,
+    FrontLimiter,
     QuotaEmulation,
     make_limit_plan,
 )
@@ -71,7 +71,7 @@
         return self.note(name, cost, passed, now)
 
 
-def _make_ways() -> dict[str, Callable[[random.Random], FrontPart]]:
+def _make_ways() -> dict[str, Callable[[random.Random], FrontLimiter]]:
     numbers = iter(range(10_000))
     bucket = LocalBucket(0.0, 0.0)
     return {
@@ -85,11 +85,13 @@
     plan = make_limit_plan(fronts, limit, offered)
     began = time.process_time()
     plays = [
-        QuotaEmulation(plan, _make_ways()[way], seed).play() for seed in _SEEDS
+        QuotaEmulation(plan, _make_ways()[way], seed).run() for seed in _SEEDS
     ]
     seconds = (time.process_time() - began) / len(_SEEDS) / plan.seconds
-    busiest = max(play.most_in_window for play in plays)
-    used = statistics.mean(p.passed_second_half for p in plays) / limit
+    busiest = max(play.peak_window_tokens for play in plays)
+    used = (
+        statistics.mean(p.second_half_tokens_per_second for p in plays) / limit
+    )
     messages = plays[0].reports / plan.seconds
     if way == "permits":
         # There and back, beside the reports.
--- a/bench/quotas.py
+++ b/bench/quotas.py
@@ -17,10 +17,10 @@
     add_uses,
 )
 from ridgesill.standin.emulator.quotas import (
-    Plan,
-    Play,
+    FrontOutage,
     QuotaEmulation,
-    Silence,
+    QuotaFigures,
+    QuotaPlan,
 )
 
 _SIZES = (6, 74, 330)
@@ -101,16 +101,16 @@
 }
 
 
-def _play(plan: Plan, way: str) -> list[Play]:
-    return [QuotaEmulation(plan, _WAYS[way], seed).play() for seed in _SEEDS]
+def _play(plan: QuotaPlan, way: str) -> list[QuotaFigures]:
+    return [QuotaEmulation(plan, _WAYS[way], seed).run() for seed in _SEEDS]
 
 
-def _print(name: str, plan: Plan) -> None:
+def _print(name: str, plan: QuotaPlan) -> None:
     for way in _WAYS:
         plays = _play(plan, way)
-        excess = max(p.excess for p in plays)
-        calm = max(p.refused_calm for p in plays)
-        hot = min(p.passed_hot for p in plays)
+        excess = max(p.excess_tokens for p in plays)
+        calm = max(p.refused_share_before_hot for p in plays)
+        hot = min(p.hot_passed_share for p in plays)
         reports = plays[0].reports / plan.seconds
         print(
             f"{name:<28} {plan.fronts:>4} {way:<16} {excess:>10,.0f} "
@@ -125,15 +125,19 @@
         f"{'used':>8} {'msgs/s':>8}"
     )
     for fronts in _SIZES:
-        _print("largest hot", Plan(fronts, _LARGE))
-        _print("smallest hot", Plan(fronts, _SMALL))
-    cut = Silence(9.0, 4.5, 0.4)
-    _print("two fifths cut off", Plan(74, _LARGE, silences=(cut,)))
-    killed = tuple(Silence(at, 1.0, 0.7, restarts=True) for at in (11.0, 15.0))
-    _print("seven tenths killed twice", Plan(74, _LARGE, silences=killed))
-    lost = Plan(74, _LARGE, owner_lost_at=9.5, owner_seconds=3.5)
+        _print("largest hot", QuotaPlan(fronts, _LARGE))
+        _print("smallest hot", QuotaPlan(fronts, _SMALL))
+    cut = FrontOutage(9.0, 4.5, 0.4)
+    _print("two fifths cut off", QuotaPlan(74, _LARGE, outages=(cut,)))
+    killed = tuple(
+        FrontOutage(at, 1.0, 0.7, loses_state=True) for at in (11.0, 15.0)
+    )
+    _print("seven tenths killed twice", QuotaPlan(74, _LARGE, outages=killed))
+    lost = QuotaPlan(74, _LARGE, owner_lost_at=9.5, ownerless_seconds=3.5)
     _print("owner lost as it turns hot", lost)
-    _print("limit lowered", Plan(74, _LARGE, lowered_at=13.0, hot_until=28.0))
+    _print(
+        "limit lowered", QuotaPlan(74, _LARGE, lowered_at=13.0, hot_until=28.0)
+    )
 
 
 if __name__ == "__main__":
--- a/bench/routing.py
+++ b/bench/routing.py
@@ -74,11 +74,11 @@
         return EngineModel(
             slots=8,
             batch=16,
-            load=self.store_concurrency / self.store_rate,
-            step=0.008,
-            per_sequence=0.0004,
-            per_adapter=0.001,
-            prefill=0.004,
+            load_seconds=self.store_concurrency / self.store_rate,
+            step_seconds=0.008,
+            sequence_seconds=0.0004,
+            adapter_seconds=0.001,
+            prefill_seconds=0.004,
         )
 
     @property
@@ -90,9 +90,9 @@
     def engine_rate(self) -> float:
         """Requests a second that keep all engines busy."""
         model = self.model
-        step = model.step + model.batch * model.per_sequence
-        step += model.slots * model.per_adapter
-        step += model.prefill * model.batch / _TOKENS
+        step = model.step_seconds + model.batch * model.sequence_seconds
+        step += model.slots * model.adapter_seconds
+        step += model.prefill_seconds * model.batch / _TOKENS
         return self.runners * model.batch / step / _TOKENS
 
 
@@ -185,8 +185,8 @@
                 run.seconds,
                 self.site.rate * run.load,
                 exponent=self.site.exponent,
-                plain=self.site.plain,
-                tokens=_TOKENS,
+                plain_service=self.site.plain,
+                mean_tokens=_TOKENS,
             ),
             run.seed,
         )
--- a/src/ridgesill/app/cli.py
+++ b/src/ridgesill/app/cli.py
@@ -250,19 +250,19 @@
             nodes: IP:PORT of callers' listeners, separated by commas.
             speed: how many times faster than recorded.
         """
-        from ridgesill.standin.replay import Player
+        from ridgesill.standin.replay import TraceReplayer
         from ridgesill.standin.traces import read_trace
 
         try:
             requests = read_trace(Path(trace))
         except (OSError, ValueError) as error:
             raise CommandError(f"{trace}: {error}") from error
-        totals = Player(_split(nodes)).play(requests, speed)
+        totals = TraceReplayer(_split(nodes)).replay(requests, speed)
         for line in totals.unexpected[:20]:
             print(line)
         if totals.unexpected:
-            raise CommandError(totals.line())
-        return totals.line()
+            raise CommandError(totals.summary())
+        return totals.summary()
 
     def load(
         self,
@@ -283,17 +283,17 @@
             seed: equal seeds make equal loads.
             trace: path to write the trace to, instead of sending it.
         """
-        from ridgesill.standin.replay import Player
+        from ridgesill.standin.replay import TraceReplayer
         from ridgesill.standin.traces import Workload, make_trace, write_trace
 
         workload = Workload(
-            seconds, rate, adapters, popular=min(50, adapters // 2)
+            seconds, rate, adapters, popular_adapters=min(50, adapters // 2)
         )
         requests = [r for r in make_trace(workload, seed) if r.adapter]
         if trace:
             write_trace(requests, Path(trace))
             return f"{trace}: {len(requests)} requests"
-        return Player(_split(nodes)).play(requests).line()
+        return TraceReplayer(_split(nodes)).replay(requests).summary()
 
     def experiment(self, plan: str, out: str, jobs: int = 0) -> str:
         """Plays emulated days with variants of the decisions, side by side.
--- a/src/ridgesill/standin/__init__.py
+++ b/src/ridgesill/standin/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for runners and plain services, for tests, trials and loads."""
+"""Stand-ins for runners and plain services, for tests and load generation."""
--- a/src/ridgesill/standin/emulator/__init__.py
+++ b/src/ridgesill/standin/emulator/__init__.py
@@ -1,5 +1,5 @@
-"""Engines, network and callers on a virtual clock, around the real decisions.
+"""An emulated deployment: engines, network and callers on a virtual clock.
 
-The code that decides on fronts and at the owner of the fleet runs here as it
-is; only what stands around it is emulated. Half a minute is played in seconds.
+The decision code of the fronts and of the fleet owner runs unmodified; only
+its environment is emulated. Emulating half a minute takes a few seconds.
 """
--- a/src/ridgesill/standin/emulator/batch.py
+++ b/src/ridgesill/standin/emulator/batch.py
@@ -1,8 +1,9 @@
-"""How an engine reads prompts and makes tokens: one batch, step by step.
+"""Continuous batching with chunked prefill, as an emulated engine does it.
 
-Each step makes one token of every running sequence and reads a piece of the
-prompts that wait, one after the other: the first that was let in goes on until
-it is read. Those that wait are let in by priority, then in order of arrival.
+Each step generates one token for every running sequence and prefills a chunk
+of the admitted prompts, one prompt after the other: the first one admitted is
+read to its end before the next. Waiting sequences are admitted by priority,
+then in order of arrival.
 """
 
 import asyncio
@@ -16,19 +17,21 @@
 
 @attrs.frozen
 class EngineShape:
-    """What an engine can do. Times in seconds.
+    """The capacity and speed of an engine. Times are in seconds.
 
     Attributes:
-        slots: sequences at once.
-        memory: tokens.
-        step: fixed part of a step.
-        per_sequence: a step's share for each running sequence.
-        per_context: for each token of context of those.
-        read_rate: prompt tokens a second.
-        per_pair: attention of a piece being read, for each pair of tokens.
-        piece: most prompt tokens read in a step.
+        slots: maximum number of admitted sequences.
+        memory: capacity of the key-value cache, in tokens.
+        step: fixed time of a step.
+        per_sequence: time that each running sequence adds to a step.
+        per_context: time that each context token of the running sequences
+            adds to a step.
+        read_rate: prompt tokens prefilled per second, without attention.
+        per_pair: attention time for each pair of a prefilled token and a
+            token before it.
+        piece: maximum number of prompt tokens prefilled in a step.
         event_tokens: tokens in one event of a stream.
-        pace: factor on all times; above 1 is slower.
+        pace: factor applied to all times; values above 1 are slower.
     """
 
     slots: int = 64
@@ -45,14 +48,22 @@
 
 @attrs.define(eq=False)
 class Sequence:
-    """A request on an engine.
+    """A request in an engine's batch.
 
     Attributes:
-        parts: of the prompt in order: id and tokens; the last is its own.
-        events: of the answer, beyond those that were made elsewhere.
-        priority: 0 goes first.
-        on_event: called with each event's number, from 1.
-        on_end: called at the end; with a reason when it is cut.
+        request: id of the request.
+        artifact: adapter or base model that the request uses.
+        parts: prompt parts in order, as (id, tokens); only the last part is
+            unique to the request.
+        events: events to generate; excludes events that another engine
+            generated before the request was resumed here.
+        priority: 0 is admitted first, higher values later.
+        on_event: called with the number of each event, from 1.
+        on_end: called once with "" when the answer is complete, or with a
+            reason when it is aborted.
+        unread_tokens: prompt tokens that are not prefilled yet.
+        context_tokens: tokens in the key-value cache.
+        tokens_made: tokens generated so far.
     """
 
     request: str
@@ -62,54 +73,57 @@
     priority: int
     on_event: Callable[[int], None]
     on_end: Callable[[str], None]
-    unread: int = 0
-    context: int = 0
+    unread_tokens: int = 0
+    context_tokens: int = 0
     tokens_made: int = 0
 
 
-class PartCache:
-    """Prompt parts that are kept, by all that came before them."""
+class PrefixCache:
+    """Caches prompt parts, keyed by the adapter and all parts before them."""
 
     def __init__(self) -> None:
-        self._kept: collections.OrderedDict[tuple[str, ...], int] = (
+        self._cached: collections.OrderedDict[tuple[str, ...], int] = (
             collections.OrderedDict()
         )
         self.tokens = 0
 
-    def find(self, sequence: Sequence) -> int:
-        """Returns how many tokens of a prompt need not be read."""
-        found = 0
+    def match(self, sequence: Sequence) -> int:
+        """Returns the cached prefix length in tokens; marks it as used."""
+        cached = 0
         for key, tokens in _prefixes(sequence):
-            if key not in self._kept:
+            if key not in self._cached:
                 break
-            self._kept.move_to_end(key)
-            found += tokens
-        return found
+            self._cached.move_to_end(key)
+            cached += tokens
+        return cached
 
-    def keep(self, sequence: Sequence) -> None:
-        """Keeps the parts of a prompt that has been read."""
+    def insert(self, sequence: Sequence) -> None:
+        """Caches all parts of a prompt that has been prefilled."""
         for key, tokens in _prefixes(sequence):
-            if key not in self._kept:
-                self._kept[key] = tokens
+            if key not in self._cached:
+                self._cached[key] = tokens
                 self.tokens += tokens
-            self._kept.move_to_end(key)
+            self._cached.move_to_end(key)
 
-    def shrink(self, room: int) -> None:
-        """Lets the least recently used parts give way."""
-        while self.tokens > max(room, 0) and self._kept:
-            _, tokens = self._kept.popitem(last=False)
+    def evict_to(self, token_limit: int) -> None:
+        """Evicts least recently used parts down to a number of tokens."""
+        while self.tokens > max(token_limit, 0) and self._cached:
+            _, tokens = self._cached.popitem(last=False)
             self.tokens -= tokens
 
-    def drop(self, artifact: str) -> None:
-        """Drops what was kept for an adapter."""
-        for key in [key for key in self._kept if key[0] == artifact]:
-            self.tokens -= self._kept.pop(key)
+    def discard_artifact(self, artifact: str) -> None:
+        """Removes all parts that were cached for an adapter."""
+        for key in [key for key in self._cached if key[0] == artifact]:
+            self.tokens -= self._cached.pop(key)
 
 
 def _prefixes(
     sequence: Sequence,
 ) -> list[tuple[tuple[str, ...], int]]:
-    """Returns each part with the names of all before it."""
+    """Returns a (key, tokens) pair for each part of a prompt, in order.
+
+    A key holds the artifact and the ids of all parts up to this one.
+    """
     key: tuple[str, ...] = (sequence.artifact,)
     prefixes = []
     for name, tokens in sequence.parts:
@@ -119,143 +133,155 @@
 
 
 class Batch:
-    """The sequences of an engine and its steps.
+    """Schedules the sequences of an engine in steps.
 
     Args:
-        shape: what the engine can do.
+        shape: capacity and speed of the engine.
+
+    Attributes:
+        running: sequences that generate tokens.
+        reading: admitted sequences whose prompts are being prefilled.
+        tokens_read: prompt tokens prefilled so far.
+        tokens_cached: prompt tokens found in the prefix cache so far.
+        preemptions: sequences returned to the queue for lack of memory.
     """
 
     def __init__(self, shape: EngineShape) -> None:
         self.shape = shape
         self.running: list[Sequence] = []
         self.reading: list[Sequence] = []
-        self.cache = PartCache()
+        self.cache = PrefixCache()
         self.tokens_read = 0
-        self.tokens_found = 0
-        self.put_back = 0
+        self.tokens_cached = 0
+        self.preemptions = 0
         self._waiting: list[tuple[int, int, Sequence]] = []
-        self._order = itertools.count()
+        self._arrival_numbers = itertools.count()
         self._loop = asyncio.get_running_loop()
-        self._step: asyncio.TimerHandle | None = None
-        self._read_now: list[tuple[Sequence, int]] = []
+        self._step_timer: asyncio.TimerHandle | None = None
+        self._scheduled_pieces: list[tuple[Sequence, int]] = []
 
     def artifacts(self) -> set[str]:
-        """Returns the adapters that sequences use."""
-        return {s.artifact for s in self._all()}
+        """Returns the artifacts that unfinished sequences use."""
+        return {s.artifact for s in self._all_sequences()}
 
-    def _all(self) -> list[Sequence]:
+    def _all_sequences(self) -> list[Sequence]:
         return [*self.running, *self.reading, *(w[2] for w in self._waiting)]
 
     @property
     def size(self) -> int:
-        """How many sequences are there."""
+        """The number of unfinished sequences, including waiting ones."""
         return len(self.running) + len(self.reading) + len(self._waiting)
 
     def add(self, sequence: Sequence) -> None:
-        """Takes a sequence."""
-        self._wait(sequence)
-        if self._step is None:
+        """Enqueues a sequence and starts stepping if the batch is idle."""
+        self._enqueue(sequence)
+        if self._step_timer is None:
             self._begin_step()
 
-    def _wait(self, sequence: Sequence) -> None:
-        entry = (sequence.priority, next(self._order), sequence)
+    def _enqueue(self, sequence: Sequence) -> None:
+        entry = (sequence.priority, next(self._arrival_numbers), sequence)
         heapq.heappush(self._waiting, entry)
 
     def cancel(self, request: str) -> None:
-        """Drops a sequence."""
+        """Removes the sequences of a request without calling `on_end`."""
         self.running = [s for s in self.running if s.request != request]
         self.reading = [s for s in self.reading if s.request != request]
         self._waiting = [w for w in self._waiting if w[2].request != request]
         heapq.heapify(self._waiting)
 
-    def end_all(self, reason: str) -> None:
-        """Cuts every sequence: the engine is gone."""
-        cut = self._all()
+    def abort_all(self, reason: str) -> None:
+        """Ends all sequences with a reason and stops stepping."""
+        aborted = self._all_sequences()
         self.running, self.reading, self._waiting = [], [], []
-        if self._step is not None:
-            self._step.cancel()
-            self._step = None
-        for sequence in cut:
+        if self._step_timer is not None:
+            self._step_timer.cancel()
+            self._step_timer = None
+        for sequence in aborted:
             sequence.on_end(reason)
 
     # -- steps ---------------------------------------------------------
 
     def _begin_step(self) -> None:
         budget = self.shape.piece
-        self._read_now = []
+        self._scheduled_pieces = []
         for sequence in self.reading:
-            budget = self._read(sequence, budget)
-        while budget > 0 and self._waiting and self._has_room():
+            budget = self._schedule_reading(sequence, budget)
+        while budget > 0 and self._waiting and self._can_admit():
             _, _, sequence = heapq.heappop(self._waiting)
-            self._let_in(sequence)
-            budget = self._read(sequence, budget)
-        if not self._read_now and not self.running:
-            self._step = None
+            self._admit(sequence)
+            budget = self._schedule_reading(sequence, budget)
+        if not self._scheduled_pieces and not self.running:
+            self._step_timer = None
             return
-        self._step = self._loop.call_later(self._seconds(), self._end_step)
+        self._step_timer = self._loop.call_later(
+            self._step_seconds(), self._end_step
+        )
 
-    def _has_room(self) -> bool:
-        inside = len(self.running) + len(self.reading)
+    def _can_admit(self) -> bool:
+        admitted = len(self.running) + len(self.reading)
         tokens = sum(p[1] for p in self._waiting[0][2].parts)
         return (
-            inside < self.shape.slots
-            and self._in_use() + tokens <= self.shape.memory
+            admitted < self.shape.slots
+            and self._tokens_in_use() + tokens <= self.shape.memory
         )
 
-    def _in_use(self) -> int:
-        running = sum(s.context for s in self.running)
-        return running + sum(s.context + s.unread for s in self.reading)
+    def _tokens_in_use(self) -> int:
+        running = sum(s.context_tokens for s in self.running)
+        return running + sum(
+            s.context_tokens + s.unread_tokens for s in self.reading
+        )
 
-    def _let_in(self, sequence: Sequence) -> None:
+    def _admit(self, sequence: Sequence) -> None:
         total = sum(tokens for _, tokens in sequence.parts)
         total += sequence.tokens_made
-        found = min(self.cache.find(sequence), total - 1)
-        self.tokens_found += found
-        sequence.context = found
-        sequence.unread = total - found
+        cached = min(self.cache.match(sequence), total - 1)
+        self.tokens_cached += cached
+        sequence.context_tokens = cached
+        sequence.unread_tokens = total - cached
         self.reading.append(sequence)
 
-    def _read(self, sequence: Sequence, budget: int) -> int:
-        piece = min(budget, sequence.unread)
+    def _schedule_reading(self, sequence: Sequence, budget: int) -> int:
+        piece = min(budget, sequence.unread_tokens)
         if piece > 0:
-            self._read_now.append((sequence, piece))
+            self._scheduled_pieces.append((sequence, piece))
         return budget - piece
 
-    def _seconds(self) -> float:
+    def _step_seconds(self) -> float:
         shape = self.shape
-        context = sum(s.context for s in self.running)
+        context_tokens = sum(s.context_tokens for s in self.running)
         seconds = shape.step + shape.per_sequence * len(self.running)
-        seconds += shape.per_context * context
-        for sequence, piece in self._read_now:
+        seconds += shape.per_context * context_tokens
+        for sequence, piece in self._scheduled_pieces:
             seconds += piece / shape.read_rate
-            pairs = piece * (sequence.context + piece / 2)
+            pairs = piece * (sequence.context_tokens + piece / 2)
             seconds += shape.per_pair * pairs
         return seconds * shape.pace
 
     def _end_step(self) -> None:
         decoding = self.running
         self.running = []
-        inside = set(map(id, self.reading))
-        for sequence, piece in self._read_now:
-            if id(sequence) not in inside:
+        admitted = set(map(id, self.reading))
+        for sequence, piece in self._scheduled_pieces:
+            if id(sequence) not in admitted:
                 continue
-            sequence.unread -= piece
-            sequence.context += piece
+            sequence.unread_tokens -= piece
+            sequence.context_tokens += piece
             self.tokens_read += piece
-            if sequence.unread <= 0:
+            if sequence.unread_tokens <= 0:
                 self.reading.remove(sequence)
-                self.cache.keep(sequence)
+                self.cache.insert(sequence)
                 self._make_token(sequence)
         for sequence in decoding:
             self._make_token(sequence)
-        self._keep_within_memory()
+        self._free_memory()
         self._begin_step()
 
     def _make_token(self, sequence: Sequence) -> None:
         stride = self.shape.event_tokens
         sequence.tokens_made += 1
-        sequence.context += 1
-        # The first event comes with the first token.
+        sequence.context_tokens += 1
+        # The first event is sent with the first token, and each later one
+        # `event_tokens` tokens after the one before.
         if (sequence.tokens_made - 1) % stride == 0:
             sequence.on_event(1 + (sequence.tokens_made - 1) // stride)
         if sequence.tokens_made > (sequence.events - 1) * stride:
@@ -263,13 +289,13 @@
         else:
             self.running.append(sequence)
 
-    def _keep_within_memory(self) -> None:
+    def _free_memory(self) -> None:
         shape = self.shape
-        while self._in_use() > shape.memory and len(self.running) > 1:
+        while self._tokens_in_use() > shape.memory and len(self.running) > 1:
             newest = max(
                 range(len(self.running)),
                 key=lambda n: (self.running[n].priority, n),
             )
-            self._wait(self.running.pop(newest))
-            self.put_back += 1
-        self.cache.shrink(shape.memory - self._in_use())
+            self._enqueue(self.running.pop(newest))
+            self.preemptions += 1
+        self.cache.evict_to(shape.memory - self._tokens_in_use())
--- a/src/ridgesill/standin/emulator/demand.py
+++ b/src/ridgesill/standin/emulator/demand.py
@@ -1,4 +1,4 @@
-"""Requests that callers make: kinds, sizes, adapters and times."""
+"""Random requests of callers: their kinds, sizes, adapters and times."""
 
 import bisect
 import itertools
@@ -14,12 +14,12 @@
 
 @attrs.frozen
 class Size:
-    """A lognormal size.
+    """A lognormal distribution of sizes.
 
     Attributes:
-        mean: of the sizes.
-        spread: standard deviation of their logarithm.
-        most: above which none lies.
+        mean: mean of the distribution before it is capped.
+        spread: standard deviation of the logarithm of the sizes.
+        most: maximum; larger draws are reduced to it.
     """
 
     mean: float
@@ -27,17 +27,18 @@
     most: float = math.inf
 
     def draw(self, rng: random.Random) -> float:
-        """Returns a size."""
-        middle = math.log(self.mean) - self.spread**2 / 2
-        return min(rng.lognormvariate(middle, self.spread), self.most)
+        """Draws a size."""
+        mean_logarithm = math.log(self.mean) - self.spread**2 / 2
+        return min(rng.lognormvariate(mean_logarithm, self.spread), self.most)
 
 
 @attrs.frozen
 class SharedPart:
-    """A part of prompts that several requests share.
+    """A prompt part that several requests have in common.
 
     Attributes:
-        variants: how many there are, for each variant of the part before.
+        tokens: distribution of the part's size, drawn once per variant.
+        variants: number of variants for each variant of the part before.
     """
 
     tokens: Size
@@ -46,17 +47,23 @@
 
 @attrs.frozen
 class RequestKind:
-    """A kind of request. Times in seconds.
+    """A kind of request. Times are in seconds.
 
     Attributes:
-        rate: requests a second.
-        goal: within which the first event is in time.
-        pause_goal: the longest pause between events in time.
-        patience: the caller's, in all.
-        worth: of an answer in time to a request of mean size.
-        late_worth: of one that is late.
-        retries: of a refused caller.
-        shared: parts of the prompt before the request's own.
+        rate: mean requests per second outside bursts.
+        goal: time to the first event within which an answer is in time.
+        pause_goal: longest pause between events of an answer in time.
+        patience: time after which the caller abandons the request, counted
+            from its first attempt.
+        worth: value of an answer in time to a request of mean size.
+        late_worth: value of a complete but late answer.
+        prompt: tokens of the prompt part that is unique to a request.
+        events: events of the answer.
+        shared: prompt parts before the unique part.
+        retries: attempts after the first one that a refused caller makes.
+        attempts: engines that a front may try for one request.
+        resumable: whether another engine may continue a broken stream.
+        priority: priority of the route; 0 is the most urgent.
     """
 
     name: str
@@ -77,13 +84,15 @@
 
 @attrs.frozen
 class Popularity:
-    """Which adapters are asked for.
+    """The popularity of adapters, which follows Zipf's law.
 
     Attributes:
-        adapters: how many there are.
-        exponent: of the Zipf law.
-        share: of the requests that name an adapter at all.
-        shift_every: seconds after which each rank falls to the next adapter.
+        adapters: number of adapters.
+        exponent: exponent of Zipf's law.
+        share: share of the requests that name an adapter; the others use the
+            base model.
+        shift_every: seconds after which each popularity rank moves on to the
+            next adapter.
     """
 
     adapters: int = 3000
@@ -94,7 +103,13 @@
 
 @attrs.frozen
 class Burst:
-    """A time with more requests of all kinds."""
+    """A period with a higher request rate for all kinds.
+
+    Attributes:
+        at: start, in seconds from the first request.
+        seconds: duration.
+        factor: factor applied to the request rates.
+    """
 
     at: float
     seconds: float
@@ -103,11 +118,14 @@
 
 @attrs.frozen
 class Arrival:
-    """A request of a caller.
+    """A request as a caller sends it.
 
     Attributes:
-        worth: of an answer in time, by its size.
-        late_worth: of one that is late.
+        at: when it is sent, in seconds from the start of the run.
+        name: id of the request.
+        plan: what an engine generates for it.
+        worth: value of an answer in time, which grows with the size.
+        late_worth: value of a complete but late answer.
     """
 
     at: float
@@ -119,14 +137,14 @@
 
 
 class Demand:
-    """Draws the requests of a day.
+    """Draws the requests of a run.
 
     Args:
-        kinds: of requests.
-        popularity: of adapters.
-        bursts: times with more of them.
-        model: the base model.
-        rng: the source of chance.
+        kinds: kinds of requests.
+        popularity: popularity of adapters.
+        bursts: periods with higher request rates.
+        model: name of the base model.
+        rng: source of all draws.
     """
 
     def __init__(
@@ -142,37 +160,39 @@
         self._bursts = bursts
         self._model = model
         self._rng = rng
-        self._numbers = itertools.count()
+        self._request_numbers = itertools.count()
         self._salt = rng.random()
         weights = (
             (rank + 1) ** -popularity.exponent
             for rank in range(popularity.adapters)
         )
         self._cumulative = list(itertools.accumulate(weights))
-        self._names = rng.sample(
+        self._adapter_by_rank = rng.sample(
             range(popularity.adapters), popularity.adapters
         )
 
     def draw(self, seconds: float) -> list[Arrival]:
-        """Returns the requests of some seconds, in order of time."""
+        """Draws the requests of a number of seconds, in order of time."""
         arrivals = [
             arrival
             for kind in self._kinds
-            for arrival in self._of(kind, seconds)
+            for arrival in self._draw_kind(kind, seconds)
         ]
         return sorted(arrivals, key=lambda arrival: arrival.at)
 
-    def _of(self, kind: RequestKind, seconds: float) -> Iterator[Arrival]:
+    def _draw_kind(
+        self, kind: RequestKind, seconds: float
+    ) -> Iterator[Arrival]:
         most = max([1.0, *(burst.factor for burst in self._bursts)])
         at = 0.0
         while True:
             at += self._rng.expovariate(kind.rate * most)
             if at >= seconds:
                 return
-            if self._rng.random() < self._factor(at) / most:
-                yield self._make(kind, at)
+            if self._rng.random() < self._burst_factor(at) / most:
+                yield self._make_arrival(kind, at)
 
-    def _factor(self, at: float) -> float:
+    def _burst_factor(self, at: float) -> float:
         factors = (
             burst.factor
             for burst in self._bursts
@@ -180,23 +200,24 @@
         )
         return max(factors, default=1.0)
 
-    def _adapter(self, at: float) -> str:
+    def _draw_adapter(self, at: float) -> str:
         if self._rng.random() >= self._popularity.share:
             return ""
         draw = self._rng.random() * self._cumulative[-1]
         rank = bisect.bisect_left(self._cumulative, draw)
         shifted = rank + int(at / self._popularity.shift_every)
-        return f"a{self._names[shifted % len(self._names)]}"
+        return f"a{self._adapter_by_rank[shifted % len(self._adapter_by_rank)]}"
 
-    def _make(self, kind: RequestKind, at: float) -> Arrival:
-        name = f"r{next(self._numbers)}"
+    def _make_arrival(self, kind: RequestKind, at: float) -> Arrival:
+        name = f"r{next(self._request_numbers)}"
         parts = []
         path = kind.name
         for shared in kind.shared:
             path += f".{self._rng.randrange(shared.variants)}"
-            # Equal parts have equal sizes within a day.
-            sized = random.Random(f"{self._salt} {path}")
-            parts.append((path, max(int(shared.tokens.draw(sized)), 1)))
+            # Seeded by the part's path, so that all requests of a run that
+            # share a part agree on its size.
+            part_rng = random.Random(f"{self._salt} {path}")
+            parts.append((path, max(int(shared.tokens.draw(part_rng)), 1)))
         parts.append((name, max(int(kind.prompt.draw(self._rng)), 1)))
         events = max(int(kind.events.draw(self._rng)), 1)
         prompt = sum(tokens for _, tokens in parts)
@@ -204,25 +225,30 @@
             request=name,
             host="",
             model=self._model,
-            adapter=self._adapter(at),
+            adapter=self._draw_adapter(at),
             prompt_tokens=prompt,
             answer_tokens=events,
             parts=tuple(parts),
             patience=kind.patience,
         )
         plan = AnswerPlan(facts, events)
-        weight = _weigh(kind, prompt, events)
+        size_factor = _size_factor(kind, prompt, events)
         return Arrival(
-            at, name, kind, plan, kind.worth * weight, kind.late_worth * weight
+            at,
+            name,
+            kind,
+            plan,
+            kind.worth * size_factor,
+            kind.late_worth * size_factor,
         )
 
 
-def _weigh(kind: RequestKind, prompt: int, events: int) -> float:
-    """Returns a request's worth beside one of mean size.
+def _size_factor(kind: RequestKind, prompt: int, events: int) -> float:
+    """Returns a request's worth relative to one of mean size.
 
-    Larger answers are worth more to those who asked (the users' rules: three
-    tenths, and seven by size, to four times at the most; a token made counts
-    for ten read).
+    Larger requests are worth more: 0.3 of the worth is fixed and 0.7 is
+    proportional to the size, up to 4 times the mean worth. A generated token
+    counts as much as 10 prompt tokens, and an event has 4 tokens.
     """
     shared = sum(part.tokens.mean for part in kind.shared)
     mean = kind.prompt.mean + shared + 10 * 4 * kind.events.mean
--- a/src/ridgesill/standin/emulator/engines.py
+++ b/src/ridgesill/standin/emulator/engines.py
@@ -1,4 +1,4 @@
-"""Emulated engines and the channels to them."""
+"""Emulated engines and the connections to them."""
 
 import asyncio
 import collections
@@ -10,29 +10,30 @@
 from ridgesill.core.fleet.messages import Heartbeat
 from ridgesill.ports.dialect import RequestFacts
 from ridgesill.ports.http import ChannelError, HttpRequest, ResponseHead
+from ridgesill.standin.emulator.adapter_slots import AdapterSlots
 from ridgesill.standin.emulator.batch import Batch, EngineShape, Sequence
 from ridgesill.standin.emulator.messages import (
-    not_run,
+    encode_verdict,
+    make_not_run_head,
     read_order,
     read_terms,
-    write_verdict,
 )
-from ridgesill.standin.emulator.places import Places
 
-_Part = ResponseHead | bytes | ChannelError
+_AnswerPart = ResponseHead | bytes | ChannelError
 
-_OK = 200
-_MISDIRECTED = 421
-# What a connection that is refused costs, in seconds.
-_REFUSED_SECONDS = 0.003
+_STATUS_OK = 200
+_STATUS_MISDIRECTED = 421
+# Time until an attempt to connect to a stopped engine fails.
+_CONNECT_REFUSED_SECONDS = 0.003
 
 
 @attrs.frozen
 class AnswerPlan:
-    """What an engine makes for a request.
+    """What an engine generates for a request.
 
     Attributes:
-        events: of the whole answer.
+        facts: what the front knows about the request.
+        events: number of events in the whole answer.
     """
 
     facts: RequestFacts
@@ -43,13 +44,13 @@
     """One incarnation of an engine.
 
     Args:
-        name: of the incarnation.
-        address: where it is reached.
-        data_centre: where it stands.
-        shape: how it reads and makes tokens.
-        places: what it holds.
-        plans: of all requests, by id.
-        versions: the newest of each adapter.
+        name: unique name of the incarnation.
+        address: address of the engine, which all its incarnations share.
+        data_centre: name of the data centre.
+        shape: capacity and speed.
+        adapter_slots: artifacts that the engine holds.
+        plans: answers to generate, by request id.
+        versions: newest version of each adapter, updated from outside.
     """
 
     def __init__(
@@ -58,14 +59,14 @@
         address: str,
         data_centre: str,
         shape: EngineShape,
-        places: Places,
+        adapter_slots: AdapterSlots,
         plans: dict[str, AnswerPlan],
         versions: dict[str, int],
     ) -> None:
         self.name = name
         self.address = address
         self.data_centre = data_centre
-        self.places = places
+        self.adapter_slots = adapter_slots
         self.batch = Batch(shape)
         self.is_up = True
         self._plans = plans
@@ -73,7 +74,11 @@
         self._sequence = 0
 
     def heartbeat(self, service: str) -> Heartbeat:
-        """Returns what it says of itself now."""
+        """Returns the next heartbeat, with the artifacts held now.
+
+        Args:
+            service: service that the engine belongs to.
+        """
         self._sequence += 1
         return Heartbeat(
             self.name,
@@ -83,59 +88,70 @@
             self.batch.shape.slots,
             False,
             self._sequence,
-            dict(self.places.held),
+            dict(self.adapter_slots.held),
         )
 
     def crash(self) -> None:
-        """Ends it and cuts its answers."""
+        """Stops the engine and breaks all streams in progress."""
         self.is_up = False
-        self.batch.end_all("the engine is gone")
+        self.batch.abort_all("the engine is gone")
+
+    def handle_request(
+        self, request: HttpRequest, exchange: "EmulatedExchange"
+    ) -> None:
+        """Starts a request, or answers 421 if the engine can't run it.
 
-    def serve(self, request: HttpRequest, exchange: "EmulatedExchange") -> None:
-        """Begins a request, or says that it does not run."""
+        The answer is 421 if the request names another incarnation or an
+        artifact version that the engine doesn't hold.
+        """
         name, terms = read_terms(request)
         plan = self._plans[name]
         artifact = plan.facts.artifact
-        held = self.places.held.get(artifact, 0)
+        held = self.adapter_slots.held.get(artifact, 0)
         if terms.upstream != self.name or held < max(terms.version, 1):
-            exchange.put_head(not_run(_MISDIRECTED))
+            exchange.send_head(make_not_run_head(_STATUS_MISDIRECTED))
             return
-        done = int(terms.last_event or 0)
+        events_done = int(terms.last_event or 0)
         sequence = Sequence(
             name,
             artifact,
             plan.facts.parts,
-            max(plan.events - done, 1),
+            max(plan.events - events_done, 1),
             terms.priority,
-            lambda number: exchange.put_event(done + number),
+            lambda number: exchange.send_event(events_done + number),
             exchange.end,
         )
         exchange.on_cancel = lambda: self.batch.cancel(name)
         self.batch.add(sequence)
 
-    def take_call(
+    def handle_call(
         self, request: HttpRequest, exchange: "EmulatedExchange"
     ) -> None:
-        """Carries out an order, or reports."""
+        """Executes a fleet order, or answers a request for a report."""
         order = read_order(request)
         if order is None:
-            said = msgspec.json.encode(self.places.report())
-            exchange.put_whole(_OK, said)
+            encoded_report = msgspec.json.encode(
+                self.adapter_slots.make_report()
+            )
+            exchange.send_whole(_STATUS_OK, encoded_report)
             return
         newest = max(self._versions.get(order.artifact, 0), 1)
         using = self.batch.artifacts()
-        verdict = self.places.order(order, using, newest)
-        if order.artifact not in self.places.held:
-            self.batch.cache.drop(order.artifact)
-        exchange.put_whole(write_verdict(verdict), b"")
+        verdict = self.adapter_slots.handle_order(order, using, newest)
+        if order.artifact not in self.adapter_slots.held:
+            self.batch.cache.discard_artifact(order.artifact)
+        exchange.send_whole(encode_verdict(verdict), b"")
 
 
 class EmulatedExchange:
-    """One request and its answer; as `adapters.http1.client.Exchange`.
+    """One request and its answer; replaces `adapters.http1.client.Exchange`.
 
     Args:
-        address: the upstream's.
-        delay: one way, in seconds.
+        address: address of the upstream.
+        delay: one-way network delay, in seconds.
+
+    Attributes:
+        on_cancel: called at the upstream when the front cancels.
     """
 
     def __init__(self, address: str, delay: float) -> None:
@@ -143,89 +159,104 @@
         self._address = address
         self._delay = delay
         self._loop = asyncio.get_running_loop()
-        self._parts: asyncio.Queue[_Part] = asyncio.Queue()
-        self._link: collections.deque[_Part] = collections.deque()
+        self._parts: asyncio.Queue[_AnswerPart] = asyncio.Queue()
+        self._in_transit: collections.deque[_AnswerPart] = collections.deque()
         self._has_head = False
         self._ended = False
 
     # -- the upstream's side -------------------------------------------
 
-    def _put(self, part: _Part) -> None:
-        # Timers of one moment fire in any order; the link keeps it.
-        self._link.append(part)
+    def _send(self, part: _AnswerPart) -> None:
+        # Timers that are due at the same time fire in any order; the queue
+        # keeps the parts in the order in which they were sent.
+        self._in_transit.append(part)
         self._loop.call_later(self._delay, self._deliver)
 
     def _deliver(self) -> None:
-        self._parts.put_nowait(self._link.popleft())
+        self._parts.put_nowait(self._in_transit.popleft())
 
-    def put_head(self, head: ResponseHead) -> None:
-        """Sends a head without a body."""
-        self._put(head)
-        self._put(b"")
+    def send_head(self, head: ResponseHead) -> None:
+        """Sends an answer with a head and no body."""
+        self._send(head)
+        self._send(b"")
 
-    def put_whole(self, status: int, body: bytes) -> None:
-        """Sends a whole answer."""
-        self._put(ResponseHead(status, ()))
+    def send_whole(self, status: int, body: bytes) -> None:
+        """Sends a complete answer."""
+        self._send(ResponseHead(status, ()))
         if body:
-            self._put(body)
-        self._put(b"")
+            self._send(body)
+        self._send(b"")
 
-    def put_event(self, number: int) -> None:
-        """Sends an event of a stream, and the head before the first."""
+    def send_event(self, number: int) -> None:
+        """Sends an event of a stream, preceded by the head if it is first."""
         if not self._has_head:
             self._has_head = True
-            self._put(ResponseHead(_OK, ()))
-        self._put(b"id: %d\ndata: x\n\n" % number)
+            self._send(ResponseHead(_STATUS_OK, ()))
+        self._send(b"id: %d\ndata: x\n\n" % number)
 
     def end(self, reason: str) -> None:
-        """Ends the answer, or cuts it for a reason."""
+        """Ends the answer, or breaks the connection if a reason is given."""
         self._ended = True
         if reason:
             step = "body" if self._has_head else "head"
-            self._put(ChannelError(step, self._address, reason, True))
+            self._send(ChannelError(step, self._address, reason, True))
         else:
-            self._put(b"")
+            self._send(b"")
 
     # -- the front's side ----------------------------------------------
 
-    async def _next(self) -> ResponseHead | bytes:
+    async def _receive(self) -> ResponseHead | bytes:
         part = await self._parts.get()
         if isinstance(part, ChannelError):
             raise part
         return part
 
     async def read_head(self) -> ResponseHead:
-        """Returns the head of the answer."""
-        head = await self._next()
+        """Waits for the head of the answer.
+
+        Raises:
+            ChannelError: the upstream broke the connection.
+        """
+        head = await self._receive()
         assert isinstance(head, ResponseHead)
         return head
 
     async def read_data(self) -> bytes:
-        """Returns the next part of the body, empty at its end."""
-        data = await self._next()
+        """Waits for the next chunk of the body; returns b"" at its end.
+
+        Raises:
+            ChannelError: the upstream broke the connection.
+        """
+        data = await self._receive()
         assert isinstance(data, bytes)
         return data
 
     async def read_rest(self) -> bytes:
-        """Returns what is left of the body."""
+        """Reads the remaining body to its end.
+
+        Raises:
+            ChannelError: the upstream broke the connection.
+        """
         parts = []
         while data := await self.read_data():
             parts.append(data)
         return b"".join(parts)
 
     def cancel(self) -> None:
-        """Has the upstream stop, unless it has ended."""
+        """Tells the upstream to stop, unless the answer has ended."""
         if not self._ended:
             self._ended = True
             self._loop.call_later(self._delay, self.on_cancel)
 
 
 class EmulatedChannels:
-    """Carries requests and orders; as `adapters.http1.client.UpstreamChannels`.
+    """Replaces `adapters.http1.client.UpstreamChannels`.
+
+    A channel is just the address of an engine; no connections are pooled.
 
     Args:
-        engines: by address.
-        delay: one way, in seconds.
+        engines: running and stopped engines, by address.
+        delay: one-way network delay, in seconds.
     """
 
     def __init__(
@@ -242,16 +273,24 @@
         fresh_within: float = 60.0,
         most: int = 0,
     ) -> EmulatedExchange:
-        """Sends a request."""
+        """Sends a request to an address.
+
+        Raises:
+            ChannelError: no engine runs at the address.
+        """
         return self.begin(await self.take(address), request)
 
     async def take(
         self, address: str, *, fresh_within: float = 60.0, most: int = 0
     ) -> str:
-        """Returns an address that takes requests, in place of a channel."""
+        """Returns the address of a running engine, in place of a channel.
+
+        Raises:
+            ChannelError: no engine runs at the address.
+        """
         engine = self._engines.get(address)
         if engine is None or not engine.is_up:
-            await asyncio.sleep(_REFUSED_SECONDS)
+            await asyncio.sleep(_CONNECT_REFUSED_SECONDS)
             raise ChannelError("connect", address, "refused", False)
         return address
 
@@ -259,18 +298,18 @@
         """Does nothing: no channel is kept."""
 
     def begin(self, channel: str, request: HttpRequest) -> EmulatedExchange:
-        """Sends a request to an address that was taken."""
+        """Sends a request to an address that `take` returned."""
         engine = self._engines[channel]
         exchange = EmulatedExchange(channel, self._delay)
         is_call = request.target.startswith((b"/order", b"/report"))
-        take = engine.take_call if is_call else engine.serve
+        take = engine.handle_call if is_call else engine.handle_request
         asyncio.get_running_loop().call_later(
             self._delay, take, request, exchange
         )
         return exchange
 
     async def is_refused(self, address: str) -> bool:
-        """Whether an engine is down."""
+        """Returns whether no engine runs at an address."""
         engine = self._engines.get(address)
         return engine is None or not engine.is_up
 
@@ -279,4 +318,4 @@
 
 
 def _do_nothing() -> None:
-    """Stands where an upstream has nothing to stop."""
+    """Default for `EmulatedExchange.on_cancel`."""
--- a/src/ridgesill/standin/emulator/messages.py
+++ b/src/ridgesill/standin/emulator/messages.py
@@ -1,4 +1,4 @@
-"""How emulated callers, fronts and engines word requests and orders."""
+"""Encoding of requests and orders between emulated callers and engines."""
 
 import msgspec
 
@@ -15,121 +15,130 @@
     find_header,
 )
 
-_REQUEST = b"request"
-_TERMS = b"terms"
-_NOT_RUN = b"not-run"
-_RETRY_AFTER = b"retry-after"
-_ORDER = b"/order"
-_REPORT = b"/report"
-_MISDIRECTED = 421
+_REQUEST_HEADER = b"request"
+_TERMS_HEADER = b"terms"
+_NOT_RUN_HEADER = b"not-run"
+_RETRY_AFTER_HEADER = b"retry-after"
+_ORDER_PATH = b"/order"
+_REPORT_PATH = b"/report"
+_STATUS_MISDIRECTED = 421
 _VERDICTS = tuple(OrderVerdict)
 
 
 class EmulatedDialect:
-    """Implements `ports.dialect.Dialect`; what a request is stands in a map.
+    """Implements `ports.dialect.Dialect` with a table of known requests.
 
     Args:
-        facts: of each request, by its id.
+        facts: facts about each request, by request id.
     """
 
     def __init__(self, facts: dict[str, RequestFacts]) -> None:
         self._facts = facts
 
     def read_request(self, request: HttpRequest) -> RequestFacts:
-        """Returns what a caller says of its request."""
-        return self._facts[find_header(request.headers, _REQUEST)]
+        """Looks up the facts about a request by the id in its header."""
+        return self._facts[find_header(request.headers, _REQUEST_HEADER)]
 
     def forward(self, request: HttpRequest, terms: ForwardTerms) -> HttpRequest:
-        """Returns the request as it goes to an upstream."""
-        encoded = (_TERMS, msgspec.json.encode(terms))
+        """Adds the forwarding terms to a request, as a JSON header."""
+        encoded = (_TERMS_HEADER, msgspec.json.encode(terms))
         return HttpRequest(
             request.method, request.target, (*request.headers, encoded)
         )
 
     def is_not_run(self, head: ResponseHead) -> bool:
-        """Whether an upstream says that it has not run a request."""
-        return bool(find_header(head.headers, _NOT_RUN))
+        """Returns whether an upstream states that it didn't run a request."""
+        return bool(find_header(head.headers, _NOT_RUN_HEADER))
 
     def read_word(self, head: ResponseHead) -> UpstreamWord:
-        """Returns what an engine says of itself: nothing."""
+        """Returns an empty word: emulated engines add none to answers."""
         return UpstreamWord()
 
     def is_misdirected(self, head: ResponseHead) -> bool:
-        """Whether an upstream lacks what a request asks for."""
-        return head.status == _MISDIRECTED
+        """Returns whether an upstream lacks the artifact that it was sent."""
+        return head.status == _STATUS_MISDIRECTED
 
     def find_unknown(self, head: ResponseHead) -> tuple[str, ...]:
-        """Finds none: emulated engines say nothing else."""
+        """Returns (): emulated engines send no unknown headers."""
         return ()
 
     def answer_headers(self, head: ResponseHead) -> Headers:
-        """Returns the headers of an answer that the caller gets."""
+        """Returns the upstream's headers unchanged, for the caller."""
         return head.headers
 
     def retry_headers(self, after: float) -> Headers:
-        """Returns headers that tell a caller when to come back."""
-        return ((_RETRY_AFTER, b"%.3f" % after),)
+        """Returns headers that tell a caller to retry after some seconds."""
+        return ((_RETRY_AFTER_HEADER, b"%.3f" % after),)
 
 
 def make_request(name: str, path: str, now: float) -> HttpRequest:
-    """Returns a caller's request as it arrives at a front."""
-    headers = ((_REQUEST, name.encode()),)
+    """Returns a caller's request as it arrives at a front.
+
+    Args:
+        name: id of the request.
+        path: target of the request.
+        now: when it arrives, in seconds.
+    """
+    headers = ((_REQUEST_HEADER, name.encode()),)
     return HttpRequest(b"POST", path.encode(), headers, arrived_at=now)
 
 
 def read_terms(request: HttpRequest) -> tuple[str, ForwardTerms]:
-    """Returns the id of a forwarded request, and what a front asks."""
-    terms = find_header(request.headers, _TERMS)
+    """Returns the id and the forwarding terms of a forwarded request."""
+    terms = find_header(request.headers, _TERMS_HEADER)
     decoded = msgspec.json.decode(terms, type=ForwardTerms)
-    return find_header(request.headers, _REQUEST), decoded
+    return find_header(request.headers, _REQUEST_HEADER), decoded
 
 
-def not_run(status: int) -> ResponseHead:
-    """Returns the head of an answer that says a request has not run."""
-    return ResponseHead(status, ((_NOT_RUN, b"1"),))
+def make_not_run_head(status: int) -> ResponseHead:
+    """Returns an answer head that states that a request didn't run."""
+    return ResponseHead(status, ((_NOT_RUN_HEADER, b"1"),))
 
 
-def read_after(headers: Headers) -> float | None:
-    """Returns when a refused caller may come back, if that is said."""
-    text = find_header(headers, _RETRY_AFTER)
+def read_retry_after(headers: Headers) -> float | None:
+    """Returns the seconds after which to retry; None if not stated."""
+    text = find_header(headers, _RETRY_AFTER_HEADER)
     return float(text) if text else None
 
 
 class EmulatedCalls:
-    """Implements `ports.dialect.EngineCalls`."""
+    """Implements `ports.dialect.EngineCalls` for emulated engines."""
 
     def write_order(self, order: FleetOrder) -> HttpRequest:
-        """Returns the call that carries an order."""
-        return HttpRequest(b"POST", _ORDER, (), msgspec.json.encode(order))
+        """Encodes an order as a request to an engine."""
+        return HttpRequest(b"POST", _ORDER_PATH, (), msgspec.json.encode(order))
 
     def read_verdict(self, status: int) -> OrderVerdict:
-        """Returns what an answer says of an order."""
+        """Decodes an engine's verdict on an order from the answer's status."""
         return _VERDICTS[status]
 
     def is_leaving(self, head: ResponseHead) -> bool:
-        """Whether an engine says that it leaves: none does."""
+        """Returns False: emulated engines never announce that they leave."""
         return False
 
     def ask_report(self, upstream: str, address: str) -> HttpRequest:
-        """Returns the call that asks an engine for its report."""
-        return HttpRequest(b"GET", _REPORT, ())
+        """Returns the request that asks an engine for its report."""
+        return HttpRequest(b"GET", _REPORT_PATH, ())
 
     def name_start(self, upstream: str, start: int) -> str:
-        """Returns the name of another start; emulated engines have new ones."""
+        """Returns a name for a further start of an engine.
+
+        Emulated engines don't need it: each incarnation has its own name.
+        """
         return f"{upstream}.{start}"
 
     def read_report(self, body: bytes) -> EngineReport:
-        """Returns what an engine reports."""
+        """Decodes an engine's report."""
         return msgspec.json.decode(body, type=EngineReport)
 
 
 def read_order(request: HttpRequest) -> FleetOrder | None:
-    """Returns the order that a call carries; None where it asks a report."""
-    if request.target == _REPORT:
+    """Decodes the order in a request; None if it asks for a report."""
+    if request.target == _REPORT_PATH:
         return None
     return msgspec.json.decode(request.body, type=FleetOrder)
 
 
-def write_verdict(verdict: OrderVerdict) -> int:
-    """Returns the status that stands for a verdict."""
+def encode_verdict(verdict: OrderVerdict) -> int:
+    """Encodes a verdict as the status of an answer."""
     return _VERDICTS.index(verdict)
--- a/src/ridgesill/standin/emulator/network.py
+++ b/src/ridgesill/standin/emulator/network.py
@@ -1,4 +1,4 @@
-"""Messages between emulated nodes."""
+"""An emulated network for messages between nodes."""
 
 import asyncio
 from collections.abc import Callable
@@ -8,12 +8,12 @@
 
 
 class EmulatedPeers:
-    """Carries messages between nodes, with a delay.
+    """Delivers messages between nodes after a delay; implements `Peers`.
 
     Args:
-        nodes: takes a message from a sender, by address.
-        name: of the sender.
-        delay: one way.
+        nodes: message handlers by address, called with sender and message.
+        name: address of the sending node.
+        delay: one-way delay, in seconds.
     """
 
     def __init__(
@@ -24,7 +24,7 @@
         self._delay = delay
 
     def send(self, address: str, message: Any) -> None:
-        """Sends a message that expects no answer."""
+        """Sends a message and ignores its answer and errors."""
         task = asyncio.ensure_future(self._deliver(address, message))
         task.add_done_callback(lambda done: done.exception())
 
@@ -39,7 +39,14 @@
         return answer
 
     async def call(self, address: str, message: Any, timeout: float) -> Any:
-        """Returns the answer to a message."""
+        """Sends a message and waits for the answer.
+
+        A message to an unknown address gets no answer, as one to a stopped
+        node.
+
+        Raises:
+            PeerError: no answer came within `timeout` seconds.
+        """
         try:
             return await asyncio.wait_for(
                 self._deliver(address, message), timeout
--- a/src/ridgesill/standin/emulator/quotas.py
+++ b/src/ridgesill/standin/emulator/quotas.py
@@ -1,7 +1,8 @@
-"""Fronts and an owner that keep a rate over all fronts, emulated.
+"""An event-driven emulation of a rate limit shared by all fronts.
 
-Messages take some time in each direction; what is offered follows a plan.
-Nothing else of a fleet is here, so that hundreds of fronts play in seconds.
+The real limiters of the fronts and the real ledger of the owner exchange
+messages with a fixed delay, while the offered load follows a plan. Nothing
+else of a fleet is emulated, so that hundreds of fronts take only seconds.
 """
 
 import collections
@@ -19,107 +20,132 @@
 from ridgesill.core.serving.limits import make_quota
 from ridgesill.core.serving.rates import RateState, RateUse
 
-# Tokens of a request and how often it comes: short ones, and a few long ones.
-_SIZES = ((650, 0.85), (200, 0.10), (9_200, 0.05))
+# Tokens of a request and the share of requests with that size: mostly short
+# ones and a few long ones.
+_REQUEST_SIZES = ((650, 0.85), (200, 0.10), (9_200, 0.05))
 
 
-_OWNER = "owner"
-# From when on after an owner began it is judged, and how long it stands before
-# the next one is lost, in seconds.
+_OWNER_ADDRESS = "owner"
+# Refusals count towards `refused_share_with_owner` only from this time after
+# an owner has started.
 _SETTLED_SECONDS = 1.0
+# How long each further owner stands before it is lost.
 _BETWEEN_LOSSES_SECONDS = 4.0
-# How often the fronts that are heard are counted, in seconds.
-_HEARD_SECONDS = 0.05
+# For how long a count of the reachable fronts is reused.
+_REACHABLE_COUNT_SECONDS = 0.05
 
 
-class FrontPart(Protocol):
-    """What decides at a front."""
+class FrontLimiter(Protocol):
+    """The rate limiter of a front.
+
+    Attributes:
+        used_since: start of the period that the next report covers.
+    """
 
     used_since: float
 
     def admit(self, name: str, quota: Quota, cost: int, now: float) -> bool:
-        """Returns whether a request may pass."""
+        """Returns whether a request of `cost` tokens may pass."""
 
     def collect_uses(self) -> dict[str, RateUse]:
-        """Returns what there is to report."""
+        """Returns the use to report, by name of the customer."""
 
     def apply_news(
         self, states: Mapping[str, RateState], fronts: int, told_at: float
     ) -> None:
-        """Takes what the owner says."""
+        """Applies the states that the owner sent.
+
+        Args:
+            states: states of the limits, by name of the customer.
+            fronts: number of fronts that share the limits.
+            told_at: when the owner computed the states.
+        """
 
 
 @attrs.frozen
-class Silence:
-    """A time in which some fronts neither report nor hear.
+class FrontOutage:
+    """A period in which some fronts and the owner can't reach each other.
 
     Attributes:
-        share: of the fronts, the first ones.
-        restarts: whether they forget what they knew and serve nobody.
+        at: start, in seconds.
+        seconds: duration.
+        share: share of the fronts; the first ones are affected.
+        loses_state: whether the fronts also restart: they serve nothing
+            during the outage and start without any state afterwards.
     """
 
     at: float
     seconds: float
     share: float
-    restarts: bool = False
+    loses_state: bool = False
 
 
 @attrs.frozen
-class Plan:
-    """What is played.
+class QuotaPlan:
+    """The load and the faults to emulate.
 
     Attributes:
-        usual: share of its limit that the customer usually sends.
-        hot: by how much more it sends from `hot_at` to `hot_until`.
-        way_seconds: from a front to the owner, and back.
-        spacing: seconds between a front's reports.
-        lowered_at: when the limit falls to `lowered_to` of what it was.
-        owner_seconds: without an owner after each loss.
-        owner_losses: how often one is lost, some seconds after it began.
-        owner_forgets: whether each one begins without the last one's word.
-        tolerance: of the limit.
-        sizes: of requests, and the share of each.
-        learns_offers: whether the limit begins under way, as an upstream's.
+        fronts: number of fronts.
+        quota: limit of the customer.
+        seconds: duration of the emulation.
+        usual_share: share of its limit that the customer sends outside the
+            overload.
+        hot_factor: factor on that load from `hot_at` to `hot_until`, in
+            seconds.
+        one_way_seconds: message delay between a front and the owner.
+        report_interval_seconds: time between two reports of a front.
+        outages: periods in which fronts can't be reached.
+        owner_lost_at: when the first owner is lost, in seconds.
+        ownerless_seconds: time without an owner after each loss.
+        owner_losses: number of losses; each further one comes some seconds
+            after its owner started.
+        owner_starts_empty: whether a new owner starts without the states
+            that its predecessor sent last.
+        lowered_at: when the limit falls to `lowered_share` of its value.
+        tolerance: tolerance of the limit.
+        sizes: pairs of tokens in a request and share of requests.
+        learns_offers: whether the ledger has to learn the offered load, as
+            for an upstream's limit that becomes known under load.
     """
 
     fronts: int
     quota: Quota
     seconds: float = 30.0
-    usual: float = 0.55
-    hot: float = 7.5
+    usual_share: float = 0.55
+    hot_factor: float = 7.5
     hot_at: float = 10.0
     hot_until: float = 17.0
-    way_seconds: float = 0.12
-    spacing: float = 0.2
-    silences: tuple[Silence, ...] = ()
+    one_way_seconds: float = 0.12
+    report_interval_seconds: float = 0.2
+    outages: tuple[FrontOutage, ...] = ()
     owner_lost_at: float = float("inf")
-    owner_seconds: float = 2.0
+    ownerless_seconds: float = 2.0
     owner_losses: int = 1
-    owner_forgets: bool = False
+    owner_starts_empty: bool = False
     lowered_at: float = float("inf")
-    lowered_to: float = 0.3
+    lowered_share: float = 0.3
     tolerance: Tolerance = Tolerance(slack=110_000)
-    sizes: tuple[tuple[int, float], ...] = _SIZES
+    sizes: tuple[tuple[int, float], ...] = _REQUEST_SIZES
     learns_offers: bool = False
 
 
-# Over which what an upstream gets is judged, in seconds.
+# Window over which the requests to an upstream are compared with its limit.
 _LIMIT_WINDOW_SECONDS = 4.0
 
 
-def make_limit_plan(fronts: int, limit: float, offered: float) -> Plan:
-    """Returns a plan of requests to an upstream that has named a limit.
+def make_limit_plan(fronts: int, limit: float, offered: float) -> QuotaPlan:
+    """Returns a plan of requests to an upstream with a limit of its own.
 
     Args:
-        fronts: how many there are.
-        limit: requests a second that it takes.
-        offered: requests a second that could go there.
+        fronts: number of fronts.
+        limit: requests per second that the upstream accepts.
+        offered: requests per second that the fronts have for it.
     """
-    return Plan(
+    return QuotaPlan(
         fronts,
         make_quota(limit),
-        usual=offered / limit,
-        hot=1.0,
+        usual_share=offered / limit,
+        hot_factor=1.0,
         tolerance=Tolerance(_LIMIT_WINDOW_SECONDS, 0.0, 0.0),
         sizes=((1, 1.0),),
         learns_offers=True,
@@ -127,271 +153,303 @@
 
 
 @attrs.frozen
-class Play:
-    """What came of it.
+class QuotaFigures:
+    """The figures of an emulated plan.
 
     Attributes:
-        most_in_window: tokens let through within the busiest window.
-        allowed_in_window: that the limit names for a window.
-        refused_calm: share of tokens refused before the customer was hot.
-        passed_hot: tokens let through while it was, as a share of its limit.
-        reports: messages to the owner.
-        passed_second_half: a second, of the second half of the plan.
-        refused_owned: share of tokens refused while an owner had stood for a
-            second.
+        peak_window_tokens: tokens admitted within the busiest window.
+        allowed_window_tokens: tokens that the limit allows in a window.
+        refused_share_before_hot: share of tokens refused before the overload.
+        hot_passed_share: tokens admitted during the overload, as a share of
+            the limit.
+        reports: number of reports that fronts sent to the owner.
+        second_half_tokens_per_second: rate of admitted tokens in the second
+            half of the plan.
+        refused_share_with_owner: share of tokens refused while an owner had
+            stood for at least a second.
     """
 
-    most_in_window: float
-    allowed_in_window: float
-    refused_calm: float
-    passed_hot: float
+    peak_window_tokens: float
+    allowed_window_tokens: float
+    refused_share_before_hot: float
+    hot_passed_share: float
     reports: int
-    passed_second_half: float = 0.0
-    refused_owned: float = 0.0
+    second_half_tokens_per_second: float = 0.0
+    refused_share_with_owner: float = 0.0
 
     @property
-    def excess(self) -> float:
-        """Tokens beyond the limit in the busiest window."""
-        return self.most_in_window - self.allowed_in_window
+    def excess_tokens(self) -> float:
+        """Tokens admitted beyond the limit in the busiest window."""
+        return self.peak_window_tokens - self.allowed_window_tokens
 
 
-class _Front:
-    """A front, and its place among the silent ones."""
+class _EmulatedFront:
+    """A front with its limiter, its reports and its outages.
+
+    Args:
+        make_limiter: makes the limiter, at the start and after a restart.
+        outages: outages that affect this front.
+
+    Attributes:
+        has_news: whether the owner's states have arrived since the start; a
+            front that restarts serves nothing before.
+    """
 
     def __init__(
-        self, make: Callable[[], FrontPart], silent: list[Silence]
+        self,
+        make_limiter: Callable[[], FrontLimiter],
+        outages: list[FrontOutage],
     ) -> None:
-        self.make = make
-        self.part = make()
+        self.make_limiter = make_limiter
+        self.limiter = make_limiter()
         self.reports = OutgoingReports()
         self.has_news = True
-        self.silences = silent
+        self.outages = outages
 
-    def is_silent(self, now: float) -> bool:
-        """Whether nothing reaches it, or leaves it."""
-        return any(s.at <= now < s.at + s.seconds for s in self.silences)
+    def is_unreachable(self, now: float) -> bool:
+        """Returns whether no message reaches or leaves the front."""
+        return any(s.at <= now < s.at + s.seconds for s in self.outages)
 
     def is_down(self, now: float) -> bool:
-        """Whether it serves nobody."""
+        """Returns whether the front is restarting and serves nothing."""
         return any(
-            s.restarts and s.at <= now < s.at + s.seconds for s in self.silences
+            s.loses_state and s.at <= now < s.at + s.seconds
+            for s in self.outages
         )
 
 
 class QuotaEmulation:
-    """Plays a plan once.
+    """Emulates a plan; for a single run.
 
     Args:
-        plan: what is played.
-        make_part: makes what decides at a front.
-        seed: of all chances.
+        plan: load and faults.
+        make_limiter: makes the limiter of a front.
+        seed: seed of all random draws.
     """
 
     def __init__(
         self,
-        plan: Plan,
-        make_part: Callable[[random.Random], FrontPart],
+        plan: QuotaPlan,
+        make_limiter: Callable[[random.Random], FrontLimiter],
         seed: int = 1,
     ) -> None:
         self._plan = plan
         self._rng = random.Random(seed)
         self._quota = plan.quota
         self._ledger = self._make_ledger()
-        self._told: dict[str, RateState] = {}
-        self._told_at = float("-inf")
+        self._latest_states: dict[str, RateState] = {}
+        self._latest_states_at = float("-inf")
         self._is_owned = True
-        self._owned_at = float("-inf")
+        self._owned_since = float("-inf")
         self._losses_left = plan.owner_losses
-        self._owned_passed = 0
-        self._owned_refused = 0
-        self._order = itertools.count()
+        self._settled_passed = 0
+        self._settled_refused = 0
+        self._event_numbers = itertools.count()
         self._events: list[tuple[float, int, Callable[[float], None]]] = []
         self._passed: list[tuple[float, int]] = []
         self._refused: list[tuple[float, int]] = []
         self._reports = 0
-        self._heard = plan.fronts
-        self._heard_until = 0.0
+        self._reachable_count = plan.fronts
+        self._reachable_count_until = 0.0
         self._fronts = [
-            _Front(
-                lambda: make_part(self._rng),
-                [s for s in plan.silences if n < s.share * plan.fronts],
+            _EmulatedFront(
+                lambda: make_limiter(self._rng),
+                [s for s in plan.outages if n < s.share * plan.fronts],
             )
             for n in range(plan.fronts)
         ]
 
     def _make_ledger(self) -> RateLedger:
-        made = RateLedger(
+        ledger = RateLedger(
             self._plan.tolerance, learns_offers=self._plan.learns_offers
         )
-        made.set_quotas({"c": self._quota})
-        return made
+        ledger.set_quotas({"c": self._quota})
+        return ledger
 
-    def play(self) -> Play:
-        """Returns what came of the plan."""
+    def run(self) -> QuotaFigures:
+        """Runs the plan to its end and returns its figures."""
         for front in self._fronts:
-            at = self._rng.random() * self._plan.spacing
-            self._at(at, self._reporter(front))
-        self._at(self._next_arrival(0.0), self._arrive)
-        self._at(self._plan.owner_lost_at, self._lose_owner)
-        self._at(self._plan.lowered_at, self._lower)
-        for silence in self._plan.silences:
-            if silence.restarts:
-                self._at(silence.at, self._restart)
+            at = self._rng.random() * self._plan.report_interval_seconds
+            self._schedule(at, self._make_report_event(front))
+        self._schedule(self._next_arrival(0.0), self._offer_request)
+        self._schedule(self._plan.owner_lost_at, self._lose_owner)
+        self._schedule(self._plan.lowered_at, self._lower_limit)
+        for outage in self._plan.outages:
+            if outage.loses_state:
+                self._schedule(outage.at, self._restart_fronts)
         while self._events and self._events[0][0] < self._plan.seconds:
-            now, _, act = heapq.heappop(self._events)
-            act(now)
-        return self._sum_up()
+            now, _, callback = heapq.heappop(self._events)
+            callback(now)
+        return self._compute_figures()
 
-    def _at(self, at: float, act: Callable[[float], None]) -> None:
-        heapq.heappush(self._events, (at, next(self._order), act))
+    def _schedule(self, at: float, callback: Callable[[float], None]) -> None:
+        heapq.heappush(self._events, (at, next(self._event_numbers), callback))
 
     # -- the customer --------------------------------------------------
 
     def _next_arrival(self, now: float) -> float:
         plan = self._plan
         mean = sum(size * share for size, share in plan.sizes)
-        rate = plan.usual * plan.quota.rate / mean
+        rate = plan.usual_share * plan.quota.rate / mean
         if plan.hot_at <= now < plan.hot_until:
-            rate *= plan.hot
+            rate *= plan.hot_factor
         return now + self._rng.expovariate(rate)
 
-    def _arrive(self, now: float) -> None:
-        self._at(self._next_arrival(now), self._arrive)
+    def _offer_request(self, now: float) -> None:
+        self._schedule(self._next_arrival(now), self._offer_request)
         sizes, shares = zip(*self._plan.sizes, strict=True)
         tokens = int(self._rng.choices(sizes, shares)[0])
         front = self._rng.choice(self._fronts)
         if front.is_down(now) or not front.has_news:
-            # One that has just started waits for news first.
+            # A front that has just started serves nothing before it has
+            # received the owner's states.
             return
-        passed = front.part.admit("c", self._quota, tokens, now)
+        passed = front.limiter.admit("c", self._quota, tokens, now)
         (self._passed if passed else self._refused).append((now, tokens))
-        if self._is_owned and now >= self._owned_at + _SETTLED_SECONDS:
-            self._owned_passed += tokens * passed
-            self._owned_refused += tokens * (not passed)
+        if self._is_owned and now >= self._owned_since + _SETTLED_SECONDS:
+            self._settled_passed += tokens * passed
+            self._settled_refused += tokens * (not passed)
 
     # -- the fleet -----------------------------------------------------
 
-    def _reporter(self, front: _Front) -> Callable[[float], None]:
+    def _make_report_event(
+        self, front: _EmulatedFront
+    ) -> Callable[[float], None]:
         def report(now: float) -> None:
-            self._at(now + self._plan.spacing, report)
-            if front.is_silent(now):
+            self._schedule(now + self._plan.report_interval_seconds, report)
+            if front.is_unreachable(now):
                 return
-            since = front.part.used_since
-            front.reports.add(Sent(front.part.collect_uses(), {}, since))
-            reports = front.reports.make_reports(_OWNER, now)
+            since = front.limiter.used_since
+            front.reports.add(Sent(front.limiter.collect_uses(), {}, since))
+            reports = front.reports.make_reports(_OWNER_ADDRESS, now)
             self._reports += 1
-            self._at(now + self._plan.way_seconds, self._hearer(front, reports))
+            self._schedule(
+                now + self._plan.one_way_seconds,
+                self._make_receive_event(front, reports),
+            )
 
         return report
 
-    def _hearer(
-        self, front: _Front, reports: tuple[UseReport, ...]
+    def _make_receive_event(
+        self, front: _EmulatedFront, reports: tuple[UseReport, ...]
     ) -> Callable[[float], None]:
-        def hear(now: float) -> None:
+        def receive(now: float) -> None:
             if not self._is_owned:
-                front.reports.handle_answer(_OWNER, reports, ())
+                front.reports.handle_answer(_OWNER_ADDRESS, reports, ())
                 return
             numbers = [report.number for report in reports]
-            front.reports.handle_answer(_OWNER, reports, numbers)
-            self._ledger.record_fronts(self._count_heard(now), now)
+            front.reports.handle_answer(_OWNER_ADDRESS, reports, numbers)
+            self._ledger.record_fronts(self._count_reachable(now), now)
             for report in reports:
-                span = report.span + self._plan.way_seconds
+                span = report.span + self._plan.one_way_seconds
                 self._ledger.record_uses(report.uses, now, span)
-            self._told = self._ledger.states(now)
-            self._told_at = now
-            self._at(now + self._plan.way_seconds, self._teller(front, now))
+            self._latest_states = self._ledger.states(now)
+            self._latest_states_at = now
+            self._schedule(
+                now + self._plan.one_way_seconds,
+                self._make_news_event(front, now),
+            )
 
-        return hear
+        return receive
 
-    def _count_heard(self, now: float) -> int:
-        if not self._plan.silences:
+    def _count_reachable(self, now: float) -> int:
+        if not self._plan.outages:
             return len(self._fronts)
-        if now >= self._heard_until:
-            # Silences begin and end far more seldom than fronts report.
-            self._heard = sum(not f.is_silent(now) for f in self._fronts)
-            self._heard_until = now + _HEARD_SECONDS
-        return self._heard
-
-    def _teller(self, front: _Front, told_at: float) -> Callable[[float], None]:
-        states = dict(self._told)
-
-        def tell(now: float) -> None:
-            if not front.is_silent(now):
-                front.part.apply_news(states, len(self._fronts), told_at)
+        if now >= self._reachable_count_until:
+            # Counting is slow with hundreds of fronts, and outages start and
+            # end far less often than fronts report.
+            self._reachable_count = sum(
+                not f.is_unreachable(now) for f in self._fronts
+            )
+            self._reachable_count_until = now + _REACHABLE_COUNT_SECONDS
+        return self._reachable_count
+
+    def _make_news_event(
+        self, front: _EmulatedFront, states_at: float
+    ) -> Callable[[float], None]:
+        states = dict(self._latest_states)
+
+        def deliver_news(now: float) -> None:
+            if not front.is_unreachable(now):
+                front.limiter.apply_news(states, len(self._fronts), states_at)
                 front.has_news = True
 
-        return tell
+        return deliver_news
 
-    def _restart(self, now: float) -> None:
+    def _restart_fronts(self, now: float) -> None:
         for front in self._fronts:
             if front.is_down(now):
-                front.part = front.make()
+                front.limiter = front.make_limiter()
                 front.reports = OutgoingReports()
                 front.has_news = False
 
     def _lose_owner(self, now: float) -> None:
         self._is_owned = False
-        self._at(now + self._plan.owner_seconds, self._gain_owner)
+        self._schedule(now + self._plan.ownerless_seconds, self._start_owner)
 
-    def _gain_owner(self, now: float) -> None:
+    def _start_owner(self, now: float) -> None:
         self._is_owned = True
-        self._owned_at = now
+        self._owned_since = now
         self._ledger = self._make_ledger()
-        if self._plan.owner_forgets:
+        if self._plan.owner_starts_empty:
             self._ledger.restore({}, float("-inf"), now)
         else:
-            self._ledger.restore(self._told, self._told_at, now)
+            self._ledger.restore(
+                self._latest_states, self._latest_states_at, now
+            )
         self._losses_left -= 1
         if self._losses_left:
-            self._at(now + _BETWEEN_LOSSES_SECONDS, self._lose_owner)
+            self._schedule(now + _BETWEEN_LOSSES_SECONDS, self._lose_owner)
 
-    def _lower(self, now: float) -> None:
-        rate = self._quota.rate * self._plan.lowered_to
-        burst = self._quota.burst * self._plan.lowered_to
+    def _lower_limit(self, now: float) -> None:
+        rate = self._quota.rate * self._plan.lowered_share
+        burst = self._quota.burst * self._plan.lowered_share
         self._quota = attrs.evolve(self._quota, rate=rate, burst=burst)
         self._ledger.set_quotas({"c": self._quota})
 
     # -- figures -------------------------------------------------------
 
-    def _sum_up(self) -> Play:
+    def _compute_figures(self) -> QuotaFigures:
         plan = self._plan
-        hot = (plan.hot_at, plan.hot_until)
-        calm_refused = _tokens(self._refused, 0.0, plan.hot_at)
-        calm_passed = _tokens(self._passed, 0.0, plan.hot_at)
-        passed_hot = _tokens(self._passed, *hot)
-        return Play(
-            self._most(),
+        hot_period = (plan.hot_at, plan.hot_until)
+        calm_refused = _sum_tokens(self._refused, 0.0, plan.hot_at)
+        calm_passed = _sum_tokens(self._passed, 0.0, plan.hot_at)
+        hot_passed = _sum_tokens(self._passed, *hot_period)
+        return QuotaFigures(
+            self._peak_window_tokens(),
             plan.tolerance.allowed(self._quota),
             calm_refused / max(calm_refused + calm_passed, 1),
-            passed_hot / (plan.quota.rate * (hot[1] - hot[0])),
+            hot_passed / (plan.quota.rate * (hot_period[1] - hot_period[0])),
             self._reports,
-            _tokens(self._passed, plan.seconds / 2, plan.seconds)
+            _sum_tokens(self._passed, plan.seconds / 2, plan.seconds)
             / (plan.seconds / 2),
-            self._owned_refused
-            / max(self._owned_refused + self._owned_passed, 1),
+            self._settled_refused
+            / max(self._settled_refused + self._settled_passed, 1),
         )
 
-    def _most(self) -> int:
-        """Returns the most tokens that passed within a window.
+    def _peak_window_tokens(self) -> int:
+        """Returns the most tokens that were admitted within a window.
 
-        A lower limit binds one window after it came.
+        After the limit is lowered, counts only windows that start afterwards.
         """
         seconds = self._plan.tolerance.window
         since = 0.0
         if self._plan.lowered_at < self._plan.seconds:
             since = self._plan.lowered_at + seconds
         window: collections.deque[tuple[float, int]] = collections.deque()
-        held = most = 0
+        window_tokens = peak = 0
         for at, tokens in self._passed:
             if at < since:
                 continue
             window.append((at, tokens))
-            held += tokens
+            window_tokens += tokens
             while window[0][0] < at - seconds:
-                held -= window.popleft()[1]
-            most = max(most, held)
-        return most
+                window_tokens -= window.popleft()[1]
+            peak = max(peak, window_tokens)
+        return peak
 
 
-def _tokens(passed: list[tuple[float, int]], begin: float, end: float) -> int:
+def _sum_tokens(
+    passed: list[tuple[float, int]], begin: float, end: float
+) -> int:
     return sum(tokens for at, tokens in passed if begin <= at < end)
--- a/src/ridgesill/standin/emulator/scenario.py
+++ b/src/ridgesill/standin/emulator/scenario.py
@@ -1,4 +1,4 @@
-"""What an emulated day is made of."""
+"""The parameters of an emulated run."""
 
 import attrs
 
@@ -8,7 +8,13 @@
 
 @attrs.frozen
 class Crash:
-    """An engine that is gone for a while, and comes back empty."""
+    """An engine's crash, after which it restarts without adapters.
+
+    Attributes:
+        at: when it crashes, in seconds from the first request.
+        seconds: time until a new incarnation starts.
+        engine: number of the engine, from 0.
+    """
 
     at: float
     seconds: float
@@ -17,16 +23,28 @@
 
 @attrs.frozen
 class Scenario:
-    """A deployment and its day. Times in seconds.
+    """A deployment, its load and its faults. Times are in seconds.
 
     Attributes:
-        shapes: of the engines, in turn.
-        places: for adapters, on each engine.
-        kept: adapters given up lately that an engine loads without the store.
-        near: one way within a data centre or to another one.
-        caller_delay: one way to a front.
-        owner_losses: when the owner of the fleet is lost.
-        versions: when a new version of the adapter of some rank is named.
+        name: name in reports.
+        seconds: duration of the load.
+        fronts: number of fronts.
+        engines: number of engines.
+        data_centres: number of data centres; nodes are assigned in turn.
+        shapes: capacity and speed of the engines, assigned in turn.
+        places: adapter slots of each engine.
+        kept: recently held adapters that an engine can load without the
+            store.
+        load_seconds: duration of a load from the store.
+        fast_loads: concurrent loads up to which the store isn't slower.
+        near: one-way delay between nodes, also across data centres.
+        caller_delay: one-way delay from a caller to a front.
+        rate_factor: factor applied to the request rates of all kinds.
+        kinds: kinds of requests.
+        popularity: popularity of adapters.
+        bursts: periods with higher request rates.
+        crashes: crashes of engines.
+        owner_losses: when the fleet owner of that time stops.
     """
 
     name: str
--- a/src/ridgesill/standin/emulator/world.py
+++ b/src/ridgesill/standin/emulator/world.py
@@ -1,4 +1,4 @@
-"""An emulated deployment: fronts and the owner of the fleet, as they are."""
+"""An emulated deployment that runs the real fronts and fleet owners."""
 
 import asyncio
 import itertools
@@ -31,6 +31,7 @@
 )
 from ridgesill.core.state import State
 from ridgesill.ports.peers import PeerError
+from ridgesill.standin.emulator.adapter_slots import AdapterSlots, AdapterStore
 from ridgesill.standin.emulator.callers import Caller
 from ridgesill.standin.emulator.control import EmulatedControl
 from ridgesill.standin.emulator.demand import Arrival, Demand
@@ -40,39 +41,53 @@
 )
 from ridgesill.standin.emulator.messages import EmulatedCalls, EmulatedDialect
 from ridgesill.standin.emulator.network import EmulatedPeers
-from ridgesill.standin.emulator.places import Places, Store
 from ridgesill.standin.emulator.scenario import Crash, Scenario
 from ridgesill.standin.emulator.worth import Outcome
 
-SERVICE = "engines"
-MODEL = "base"
+ENGINE_SERVICE = "engines"
+BASE_MODEL = "base"
 _MODEL_MB = 42_700.0
 _ADAPTER_MB = 66.0
-# The platform's lease, heartbeats and first requests, in seconds.
-_LEASE = 3.0
-_HEARTBEAT = 1.2
-_LEAD = 3.0
-# From the loss of an owner until the next one leads, in seconds: elections
-# begin after 1.2 to 1.9.
-_ELECTION = 1.6
-# Nodes that may own the fleet, by turns.
-_OWNERS = tuple(f"10.0.0.{number}:70" for number in range(1, 6))
+# Lease and heartbeat interval as deployed, and the time from the start of the
+# deployment to the first request.
+_LEASE_SECONDS = 3.0
+_HEARTBEAT_SECONDS = 1.2
+_WARM_UP_SECONDS = 3.0
+# From the loss of an owner until the next one leads; election timeouts are
+# 1.2 to 1.9 s.
+_ELECTION_SECONDS = 1.6
+# Nodes that own the fleet in turn, each after the loss of the one before.
+_OWNER_ADDRESSES = tuple(f"10.0.0.{number}:70" for number in range(1, 6))
 
 
 @attrs.define
-class Day:
-    """What was seen of a played day."""
+class EmulationResult:
+    """The outcomes and totals of an emulated run.
+
+    Attributes:
+        outcomes: one outcome per request, in order of their start.
+        loads: loads from the store.
+        reloads: loads from engines' own caches.
+        tokens_read: prompt tokens prefilled.
+        tokens_cached: prompt tokens found in prefix caches.
+        overfilled: whether any engine was ordered beyond its adapter slots.
+    """
 
     outcomes: list[Outcome]
     loads: int = 0
     reloads: int = 0
     tokens_read: int = 0
-    tokens_found: int = 0
-    overfull: bool = False
+    tokens_cached: int = 0
+    overfilled: bool = False
+
 
+class EmulatedDeployment:
+    """Runs one scenario with one seed; for a single run.
 
-class World:
-    """Plays one scenario with one seed."""
+    Args:
+        scenario: deployment, load and faults.
+        seed: seed of all random draws.
+    """
 
     def __init__(self, scenario: Scenario, seed: int) -> None:
         self._scenario = scenario
@@ -80,27 +95,27 @@
         self._loop = asyncio.get_running_loop()
         self._state = State()
         self._nodes: dict[str, Callable[..., Any]] = {}
-        self._leader = ""
-        self._term = 0
-        self._store = Store(scenario.load_seconds, scenario.fast_loads)
+        self._leader_address = ""
+        self._current_term = 0
+        self._store = AdapterStore(scenario.load_seconds, scenario.fast_loads)
         self._engines: dict[str, EmulatedEngine] = {}
         self._all_engines: list[EmulatedEngine] = []
         self._incarnations = itertools.count()
-        self._arrivals = self._draw()
+        self._arrivals = self._draw_arrivals()
         self._plans = {a.name: a.plan for a in self._arrivals}
         self._table = self._make_table()
         self._controls: dict[str, EmulatedControl] = {}
         self._owners: dict[str, FleetOwner] = {}
         self._tasks: list[asyncio.Task[Any]] = []
 
-    def _draw(self) -> list[Arrival]:
+    def _draw_arrivals(self) -> list[Arrival]:
         scenario = self._scenario
         kinds = tuple(
             attrs.evolve(kind, rate=kind.rate * scenario.rate_factor)
             for kind in scenario.kinds
         )
         demand = Demand(
-            kinds, scenario.popularity, scenario.bursts, MODEL, self._rng
+            kinds, scenario.popularity, scenario.bursts, BASE_MODEL, self._rng
         )
         return demand.draw(scenario.seconds)
 
@@ -111,7 +126,7 @@
             _MODEL_MB + _ADAPTER_MB * (scenario.places + 1),
             scenario.places,
             1.0,
-            (Model(MODEL, _MODEL_MB, 1.3, 10**6, _ADAPTER_MB),),
+            (Model(BASE_MODEL, _MODEL_MB, 1.3, 10**6, _ADAPTER_MB),),
         )
         routes = [
             Route(
@@ -122,7 +137,7 @@
                 kind.patience,
                 kind.goal,
                 kind.priority,
-                (Target(SERVICE),),
+                (Target(ENGINE_SERVICE),),
                 kind.attempts,
                 True,
                 kind.resumable,
@@ -130,7 +145,7 @@
             )
             for kind in scenario.kinds
         ]
-        return RouteTable(1, routes, [Service(SERVICE, "/", 0, spec)])
+        return RouteTable(1, routes, [Service(ENGINE_SERVICE, "/", 0, spec)])
 
     # -- nodes ---------------------------------------------------------
 
@@ -145,7 +160,9 @@
             address,
             self._data_centre(number),
             scenario.shapes[number % len(scenario.shapes)],
-            Places(MODEL, scenario.places, scenario.kept, self._store),
+            AdapterSlots(
+                BASE_MODEL, scenario.places, scenario.kept, self._store
+            ),
             self._plans,
             self._state.artifact_versions,
         )
@@ -156,9 +173,9 @@
     def _start_owner(self, name: str) -> None:
         peers = EmulatedPeers(self._nodes, name, self._scenario.near)
         control = EmulatedControl(
-            name, self._state, peers, lambda: self._leader
+            name, self._state, peers, lambda: self._leader_address
         )
-        follower = FleetClient(peers, lambda: self._leader, name)
+        follower = FleetClient(peers, lambda: self._leader_address, name)
         owner = FleetOwner(
             control,  # type: ignore[arg-type]
             follower,
@@ -166,31 +183,42 @@
                 self._engines, self._scenario.near
             ),
             EmulatedCalls(),
-            _LEASE,
-            _HEARTBEAT,
+            _LEASE_SECONDS,
+            _HEARTBEAT_SECONDS,
         )
         owner.apply_table(self._table)
         self._controls[name] = control
         self._owners[name] = owner
-        self._nodes[name] = lambda sender, message: _take(
+        self._nodes[name] = lambda sender, message: _dispatch(
             owner, sender, message
         )
-        self._spawn(owner.run())
-        self._spawn(owner.holder.run())
-        self._spawn(follower.run())
+        self._start_task(owner.run())
+        self._start_task(owner.holder.run())
+        self._start_task(follower.run())
 
-    def _lead(self, name: str, predecessor_until: float) -> None:
-        """Has a node lead the log."""
-        self._term += 1
-        self._controls[name].lead(self._term, predecessor_until)
-        self._leader = name
+    def _make_leader(self, name: str, predecessor_until: float) -> None:
+        """Makes a node the leader of the log, in a new term.
+
+        Args:
+            name: address of the node.
+            predecessor_until: when a quorum last followed the previous
+                leader.
+        """
+        self._current_term += 1
+        self._controls[name].become_leader(
+            self._current_term, predecessor_until
+        )
+        self._leader_address = name
 
     def _make_front(self, number: int) -> Front:
         name = f"f{number}"
         peers = EmulatedPeers(self._nodes, name, self._scenario.near)
         fronts: list[Front] = []
         fleet = FleetClient(
-            peers, lambda: self._leader, name, lambda: _usage(fronts[0])
+            peers,
+            lambda: self._leader_address,
+            name,
+            lambda: _make_usage_report(fronts[0]),
         )
         front = Front(
             Chooser(
@@ -209,38 +237,38 @@
         front.rng = random.Random(self._rng.random())
         front.table = self._table
         fronts.append(front)
-        self._spawn(fleet.run())
+        self._start_task(fleet.run())
         return front
 
-    def _spawn(self, work: Any) -> None:
-        self._tasks.append(self._loop.create_task(work))
+    def _start_task(self, coroutine: Any) -> None:
+        self._tasks.append(self._loop.create_task(coroutine))
 
-    # -- playing -------------------------------------------------------
+    # -- load and faults -----------------------------------------------
 
-    async def play(self) -> Day:
-        """Plays the day."""
+    async def run(self) -> EmulationResult:
+        """Runs the scenario to the end of its last request."""
         scenario = self._scenario
-        for name in _OWNERS:
+        for name in _OWNER_ADDRESSES:
             self._start_owner(name)
-        self._lead(_OWNERS[0], float("-inf"))
+        self._make_leader(_OWNER_ADDRESSES[0], float("-inf"))
         for number in range(scenario.engines):
-            self._spawn(self._beat(self._start_engine(number)))
+            self._start_task(self._send_heartbeats(self._start_engine(number)))
         fronts = [self._make_front(n) for n in range(scenario.fronts)]
-        await asyncio.sleep(_LEAD)
-        self._spawn_troubles()
-        outcomes = await self._play_requests(fronts)
+        await asyncio.sleep(_WARM_UP_SECONDS)
+        self._spawn_faults()
+        outcomes = await self._send_requests(fronts)
         for task in self._tasks:
             task.cancel()
-        return Day(
+        return EmulationResult(
             outcomes,
             self._store.loads,
             self._store.reloads,
             sum(e.batch.tokens_read for e in self._all_engines),
-            sum(e.batch.tokens_found for e in self._all_engines),
-            any(e.places.overfull for e in self._all_engines),
+            sum(e.batch.tokens_cached for e in self._all_engines),
+            any(e.adapter_slots.overfilled for e in self._all_engines),
         )
 
-    async def _play_requests(self, fronts: list[Front]) -> list[Outcome]:
+    async def _send_requests(self, fronts: list[Front]) -> list[Outcome]:
         began = self._loop.time()
         tasks = []
         for arrival in self._arrivals:
@@ -251,47 +279,59 @@
             tasks.append(self._loop.create_task(caller.run()))
         return list(await asyncio.gather(*tasks))
 
-    async def _beat(self, engine: EmulatedEngine) -> None:
+    async def _send_heartbeats(self, engine: EmulatedEngine) -> None:
         while engine.is_up:
-            owner = self._owners[self._leader] if self._leader else None
+            owner = (
+                self._owners[self._leader_address]
+                if self._leader_address
+                else None
+            )
             if owner is not None and owner.is_owner():
-                owner.handle_heartbeat(engine.heartbeat(SERVICE))
-                await asyncio.sleep(_HEARTBEAT)
+                owner.handle_heartbeat(engine.heartbeat(ENGINE_SERVICE))
+                await asyncio.sleep(_HEARTBEAT_SECONDS)
             else:
                 await asyncio.sleep(0.1)
 
-    def _spawn_troubles(self) -> None:
+    def _spawn_faults(self) -> None:
         for crash in self._scenario.crashes:
-            self._spawn(self._crash(crash))
+            self._start_task(self._crash(crash))
         for at in self._scenario.owner_losses:
-            self._spawn(self._lose_owner(at))
+            self._start_task(self._lose_owner(at))
 
     async def _crash(self, crash: Crash) -> None:
         await asyncio.sleep(crash.at)
         engine = self._engines[f"10.1.0.{crash.engine}:80"]
         engine.crash()
         await asyncio.sleep(crash.seconds)
-        self._spawn(self._beat(self._start_engine(crash.engine)))
+        self._start_task(
+            self._send_heartbeats(self._start_engine(crash.engine))
+        )
 
     async def _lose_owner(self, at: float) -> None:
         await asyncio.sleep(at)
-        before = self._leader
-        self._controls[before].follow()
-        handle = self._nodes.pop(before)
-        self._leader = ""
+        lost_owner = self._leader_address
+        self._controls[lost_owner].step_down()
+        handle = self._nodes.pop(lost_owner)
+        self._leader_address = ""
         lost_at = self._loop.time()
-        await asyncio.sleep(_ELECTION)
-        turn = (_OWNERS.index(before) + 1) % len(_OWNERS)
-        self._lead(_OWNERS[turn], lost_at)
-        self._nodes[before] = handle
+        await asyncio.sleep(_ELECTION_SECONDS)
+        successor = (_OWNER_ADDRESSES.index(lost_owner) + 1) % len(
+            _OWNER_ADDRESSES
+        )
+        self._make_leader(_OWNER_ADDRESSES[successor], lost_at)
+        self._nodes[lost_owner] = handle
 
 
-def _usage(front: Front) -> UsageReport:
+def _make_usage_report(front: Front) -> UsageReport:
     return UsageReport(front.take_used(), front.chooser.report_busy())
 
 
-async def _take(owner: FleetOwner, sender: str, message: Any) -> Any:
-    """Has the owner take a message, as a control node does."""
+async def _dispatch(owner: FleetOwner, sender: str, message: Any) -> Any:
+    """Passes a message to an owner's handler, as a control node does.
+
+    Raises:
+        PeerError: no handler exists for this type of message.
+    """
     if isinstance(message, WatchFleet):
         return await owner.handle_watch(sender, message)
     if isinstance(message, WantArtifact):
@@ -302,4 +342,8 @@
         return await owner.holder.handle_order(message)
     if isinstance(message, ReadingEnded):
         return await owner.handle_reading_ended(sender, message)
-    raise PeerError(type(message).__name__, sender, "unknown message")
+    raise PeerError(
+        type(message).__name__,
+        sender,
+        "the emulated owner has no handler for this message; add one here",
+    )
--- a/src/ridgesill/standin/emulator/worth.py
+++ b/src/ridgesill/standin/emulator/worth.py
@@ -1,58 +1,62 @@
-"""What callers got, by what the users say that an answer is worth to them.
+"""The outcomes of requests and their worth to callers.
 
-From the users' third letter and rules: an answer counts from the caller's first
-try; in time it is worth all, late a part, and nothing else counts. A stream is
-in time by its first event and by its longest pause, and only when complete.
+Times count from a caller's first attempt. A complete answer in time has its
+full worth, a complete late answer a part of it, and any other outcome none. A
+stream is in time if it is complete and neither its first event nor its longest
+pause exceeds the goal.
 """
 
 import attrs
 
 from ridgesill.standin.emulator.demand import Arrival
 
-# What keeping a request costs that then isn't served, as a share of its worth,
-# when it was kept for three quarters of its time; in proportion below, from an
-# eighth of its goal on (the users' rules).
-_HELD_SHARE = 0.75
-_HELD_FROM = 0.125
-# What one that comes back after a refusal and isn't served costs beside.
-_IN_VAIN = 0.3
+# A request that is held and then not served costs its whole worth when it was
+# held for 0.75 of the caller's patience. Holding it for up to 0.125 of its
+# goal is free; the cost grows linearly in between.
+_FULL_COST_SHARE = 0.75
+_FREE_SHARE = 0.125
+# Additional cost, as a share of the worth, of a request that is refused again
+# when it is retried.
+_VAIN_RETRY_SHARE = 0.3
 
 
 @attrs.define
 class Outcome:
-    """What a caller saw of its request. Times in seconds from its first try.
+    """What a caller observed of its request, over all attempts.
 
     Attributes:
-        first: when the first event came; None without one.
-        pause: the longest between events.
-        complete: whether the whole answer came.
-        refused: how often it was told to come back.
-        held: how long it was kept in all, where it isn't served.
-        offered: whether an engine was at work on it.
+        arrival: the request.
+        first_event_seconds: time from the first attempt to the first event;
+            None without an event.
+        longest_pause_seconds: longest time between two events.
+        complete: whether the whole answer arrived.
+        refusals: number of attempts that were refused.
+        held_seconds: total time that attempts spent at fronts.
+        was_offered: whether any attempt was forwarded to an engine.
     """
 
     arrival: Arrival
-    first: float | None = None
-    pause: float = 0.0
+    first_event_seconds: float | None = None
+    longest_pause_seconds: float = 0.0
     complete: bool = False
-    refused: int = 0
-    held: float = 0.0
-    offered: bool = False
+    refusals: int = 0
+    held_seconds: float = 0.0
+    was_offered: bool = False
 
     @property
     def is_in_time(self) -> bool:
-        """Whether the answer is worth all."""
+        """Whether the answer is complete and met both goals."""
         kind = self.arrival.kind
         return (
             self.complete
-            and self.first is not None
-            and self.first <= kind.goal
-            and self.pause <= kind.pause_goal
+            and self.first_event_seconds is not None
+            and self.first_event_seconds <= kind.goal
+            and self.longest_pause_seconds <= kind.pause_goal
         )
 
     @property
     def worth(self) -> float:
-        """What it is worth to the caller."""
+        """The worth of the answer to the caller."""
         if not self.complete:
             return 0.0
         if self.is_in_time:
@@ -61,12 +65,18 @@
 
     @property
     def cost(self) -> float:
-        """What waiting or coming back in vain cost the caller."""
+        """The cost to the caller of waiting or retrying without an answer."""
         if self.complete:
             return 0.0
         kind = self.arrival.kind
-        cost = _IN_VAIN if self.refused > 1 else 0.0
-        from_, most = _HELD_FROM * kind.goal, _HELD_SHARE * kind.patience
-        if not self.offered and self.held > from_:
-            cost += min((self.held - from_) / (most - from_), 1.0)
+        cost = _VAIN_RETRY_SHARE if self.refusals > 1 else 0.0
+        cost_from, full_cost_at = (
+            _FREE_SHARE * kind.goal,
+            _FULL_COST_SHARE * kind.patience,
+        )
+        if not self.was_offered and self.held_seconds > cost_from:
+            cost += min(
+                (self.held_seconds - cost_from) / (full_cost_at - cost_from),
+                1.0,
+            )
         return cost * self.arrival.worth
--- a/src/ridgesill/standin/engine.py
+++ b/src/ridgesill/standin/engine.py
@@ -1,8 +1,8 @@
-"""A model of an engine: slots, loads, and continuous batching.
+"""A simulated engine with adapter slots, loads and continuous batching.
 
-It runs on the event loop's clock, so tests can pause and advance it. A step
-of the batch takes a fixed time, a share for each sequence and a share for
-each distinct adapter, and yields one token for each sequence.
+The simulation uses the event loop's clock, which tests can control. A step of
+the batch takes a fixed time, plus a time for each sequence and for each
+distinct adapter, and generates one token for each sequence.
 """
 
 import asyncio
@@ -16,31 +16,32 @@
 
 @attrs.frozen
 class EngineModel:
-    """What an engine costs; times in seconds.
+    """The capacity and speed of an engine.
 
     Attributes:
-        slots: adapters held at once.
-        batch: sequences in a step.
-        load: how long an adapter's load takes.
-        step: fixed part of a step.
-        per_sequence: a step's share for each sequence.
-        per_adapter: a step's share for each distinct adapter.
-        prefill: the first token's extra time, without a cached prefix.
-        prefixes: prompts whose prefill is cached.
-        failing_loads: the share of loads that fail.
-        fenced: whether orders under an old epoch are refused.
+        slots: maximum number of adapters held.
+        batch: maximum number of sequences in a step.
+        load_seconds: duration of an adapter's load.
+        step_seconds: fixed time of a step.
+        sequence_seconds: time that each sequence adds to a step.
+        adapter_seconds: time that each distinct adapter adds to a step.
+        prefill_seconds: time that a first token adds to a step when its
+            prompt prefix isn't cached.
+        cached_prefixes: maximum number of cached prompt prefixes.
+        load_failure_share: share of loads that fail, from 0 to 1.
+        checks_epochs: whether orders under an old epoch are refused.
     """
 
     slots: int = 8
     batch: int = 16
-    load: float = 0.4
-    step: float = 0.004
-    per_sequence: float = 0.0005
-    per_adapter: float = 0.001
-    prefill: float = 0.02
-    prefixes: int = 64
-    failing_loads: float = 0.0
-    fenced: bool = False
+    load_seconds: float = 0.4
+    step_seconds: float = 0.004
+    sequence_seconds: float = 0.0005
+    adapter_seconds: float = 0.001
+    prefill_seconds: float = 0.02
+    cached_prefixes: int = 64
+    load_failure_share: float = 0.0
+    checks_epochs: bool = False
 
 
 @attrs.define
@@ -48,9 +49,14 @@
     """A request on the engine.
 
     Attributes:
-        tokens: how many are to come.
-        on_token: gets each token's number.
-        on_end: gets None at the end, or an exception if it is cut.
+        request: id of the sequence, unique on the engine.
+        adapter: adapter that the request uses.
+        tokens: number of tokens to generate.
+        prefix: start of the prompt; equal prefixes share a cached prefill.
+        on_token: called with the number of each token, from 0.
+        on_end: called once with None at the regular end, or with an exception
+            if the sequence is aborted.
+        tokens_done: number of tokens generated so far.
     """
 
     request: str
@@ -59,32 +65,41 @@
     prefix: str
     on_token: Callable[[int], None]
     on_end: Callable[[Exception | None], None]
-    done: int = 0
+    tokens_done: int = 0
 
 
 class AbsentError(Exception):
-    """The engine does not hold the adapter; nothing was started."""
+    """The engine doesn't hold the adapter; nothing was started."""
 
 
 class BusyError(Exception):
-    """The engine takes no more requests; nothing was started."""
+    """The engine accepts no more requests; nothing was started."""
 
 
 class FencedError(Exception):
-    """An order under an old epoch."""
+    """An order was refused because its epoch is older than the engine's."""
 
 
 class OrderError(Exception):
-    """An order that could not be carried out, and had no effect."""
+    """An order failed and had no effect."""
 
 
-class EngineCutError(Exception):
-    """A sequence that ended early."""
+class SequenceAbortedError(Exception):
+    """The engine aborted a sequence before its regular end."""
 
 
 @attrs.define
 class Counts:
-    """Totals since the engine started, to measure policies by."""
+    """Totals since the engine started, by which policies are compared.
+
+    Attributes:
+        steps: steps of the batch.
+        tokens: generated tokens.
+        adapters_in_steps: sum over all steps of their distinct adapters.
+        busy_seconds: total duration of the steps.
+        loads: successful loads.
+        unloads_in_use: unloads that aborted running sequences.
+    """
 
     steps: int = 0
     tokens: int = 0
@@ -95,12 +110,17 @@
 
 
 class Engine:
-    """An engine.
+    """A simulated engine; `run` must run for sequences to progress.
 
     Args:
-        model: what it costs.
+        model: capacity and speed.
         rng: decides which loads fail.
-        journal: takes an event and its fields.
+        journal: called with the name and the fields of each event.
+
+    Attributes:
+        incarnation: random id of this start of the engine.
+        resident: adapters that are held.
+        is_draining: whether new requests are refused before a shutdown.
     """
 
     def __init__(
@@ -113,29 +133,34 @@
         self.incarnation = secrets.token_hex(4)
         self.resident: set[str] = set()
         self.counts = Counts()
-        self.unloading = False
+        self.is_draining = False
         self._rng = rng
         self._journal = journal
         self._loading: set[str] = set()
         self._epoch = 0
         self._running: dict[str, Sequence] = {}
         self._prefixes: OrderedDict[str, None] = OrderedDict()
-        self._work = asyncio.Event()
+        self._has_work = asyncio.Event()
 
     # -- orders --------------------------------------------------------
 
     async def load(self, adapter: str, epoch: int) -> None:
-        """Loads an adapter; raises `FencedError` or `OrderError`."""
+        """Loads an adapter, unless it is held already.
+
+        Raises:
+            FencedError: the epoch is older than the engine's.
+            OrderError: no slot is free, or the load failed by chance.
+        """
         self._check_epoch(epoch)
         if adapter in self.resident:
             return
         if len(self.resident) + len(self._loading) >= self.model.slots:
-            raise OrderError("no free slot")
+            raise OrderError("load: no free slot; unload an adapter first")
         self._loading.add(adapter)
         try:
-            await asyncio.sleep(self.model.load)
-            if self._rng.random() < self.model.failing_loads:
-                raise OrderError("the load failed")
+            await asyncio.sleep(self.model.load_seconds)
+            if self._rng.random() < self.model.load_failure_share:
+                raise OrderError("load: simulated failure; repeat the order")
         finally:
             self._loading.discard(adapter)
         self.resident.add(adapter)
@@ -143,72 +168,85 @@
         self._journal("load", adapter=adapter, epoch=epoch)
 
     def unload(self, adapter: str, epoch: int) -> None:
-        """Unloads an adapter; cuts the sequences that use it."""
+        """Unloads an adapter and aborts the sequences that use it.
+
+        Raises:
+            FencedError: the epoch is older than the engine's.
+        """
         self._check_epoch(epoch)
         using = [s for s in self._running.values() if s.adapter == adapter]
         if using:
             self.counts.unloads_in_use += 1
             self._journal("unload-in-use", adapter=adapter, epoch=epoch)
         for sequence in using:
-            self._cut(sequence, "its adapter was unloaded")
+            self._abort(sequence, "its adapter was unloaded while in use")
         self.resident.discard(adapter)
         self._journal("unload", adapter=adapter, epoch=epoch)
 
     def fence(self, epoch: int) -> None:
-        """Refuses orders under earlier epochs from now on."""
+        """Refuses orders under earlier epochs from now on.
+
+        Raises:
+            FencedError: the epoch is older than the engine's.
+        """
         self._check_epoch(epoch)
 
     def _check_epoch(self, epoch: int) -> None:
-        if self.model.fenced and epoch < self._epoch:
-            raise FencedError(f"epoch {epoch} is older than {self._epoch}")
+        if self.model.checks_epochs and epoch < self._epoch:
+            raise FencedError(
+                "order refused, only the current owner may send orders: "
+                f"epoch {epoch} is older than {self._epoch}"
+            )
         self._epoch = max(self._epoch, epoch)
 
     # -- requests ------------------------------------------------------
 
     @property
     def active(self) -> dict[str, int]:
-        """Sequences by adapter."""
+        """The number of running sequences by adapter."""
         counts: dict[str, int] = {}
         for sequence in self._running.values():
             counts[sequence.adapter] = counts.get(sequence.adapter, 0) + 1
         return counts
 
     def submit(self, sequence: Sequence) -> None:
-        """Starts a request.
+        """Adds a request to the batch.
 
         Raises:
-            AbsentError: its adapter is not held; nothing was started.
-            BusyError: the engine is leaving; nothing was started.
+            AbsentError: its adapter isn't held.
+            BusyError: the engine is draining.
         """
         if sequence.adapter not in self.resident:
             raise AbsentError(sequence.adapter)
-        if self.unloading:
+        if self.is_draining:
             raise BusyError("leaving")
         self._running[sequence.request] = sequence
         self._journal(
             "begin", request=sequence.request, adapter=sequence.adapter
         )
-        self._work.set()
+        self._has_work.set()
 
     def cancel(self, request: str) -> None:
-        """Ends a request that its caller gave up."""
+        """Removes an abandoned request without calling `on_end`."""
         sequence = self._running.pop(request, None)
         if sequence is not None:
-            self._journal("cancel", request=request, done=sequence.done)
+            self._journal("cancel", request=request, done=sequence.tokens_done)
 
-    def _cut(self, sequence: Sequence, reason: str) -> None:
+    def _abort(self, sequence: Sequence, reason: str) -> None:
         self._running.pop(sequence.request, None)
-        self._journal("cut", request=sequence.request, done=sequence.done)
-        sequence.on_end(EngineCutError(reason))
+        self._journal(
+            "cut", request=sequence.request, done=sequence.tokens_done
+        )
+        sequence.on_end(SequenceAbortedError(reason))
 
     # -- steps ---------------------------------------------------------
 
     async def run(self) -> None:
-        """Steps the batch until cancelled."""
+        """Runs the steps of the batch until cancelled."""
         while True:
             if not self._running:
-                self._work.clear()
-                await self._work.wait()
+                self._has_work.clear()
+                await self._has_work.wait()
             batch = list(self._running.values())[: self.model.batch]
             seconds = self._step_seconds(batch)
             await asyncio.sleep(seconds)
@@ -217,11 +255,13 @@
     def _step_seconds(self, batch: list[Sequence]) -> float:
         model = self.model
         adapters = len({sequence.adapter for sequence in batch})
-        seconds = model.step + model.per_sequence * len(batch)
-        seconds += model.per_adapter * adapters
+        seconds = model.step_seconds + model.sequence_seconds * len(batch)
+        seconds += model.adapter_seconds * adapters
         for sequence in batch:
-            if not sequence.done and not self._has_prefix(sequence.prefix):
-                seconds += model.prefill
+            if not sequence.tokens_done and not self._has_prefix(
+                sequence.prefix
+            ):
+                seconds += model.prefill_seconds
         self.counts.adapters_in_steps += adapters
         return seconds
 
@@ -229,7 +269,7 @@
         known = bool(prefix) and prefix in self._prefixes
         self._prefixes[prefix] = None
         self._prefixes.move_to_end(prefix)
-        if len(self._prefixes) > self.model.prefixes:
+        if len(self._prefixes) > self.model.cached_prefixes:
             self._prefixes.popitem(last=False)
         return known
 
@@ -239,10 +279,10 @@
         for sequence in batch:
             if sequence.request not in self._running:
                 continue
-            sequence.on_token(sequence.done)
-            sequence.done += 1
+            sequence.on_token(sequence.tokens_done)
+            sequence.tokens_done += 1
             self.counts.tokens += 1
-            if sequence.done >= sequence.tokens:
+            if sequence.tokens_done >= sequence.tokens:
                 del self._running[sequence.request]
                 self._journal("end", request=sequence.request)
                 sequence.on_end(None)
--- a/src/ridgesill/standin/experiment/__init__.py
+++ b/src/ridgesill/standin/experiment/__init__.py
@@ -1,1 +1,1 @@
-"""Experiments: scenarios played with variants of the decisions, by seed."""
+"""Experiments: emulated scenarios with variants of constants, by seed."""
--- a/src/ridgesill/standin/experiment/constants.py
+++ b/src/ridgesill/standin/experiment/constants.py
@@ -1,4 +1,4 @@
-"""Variants of decisions: named constants with other values, for one run."""
+"""Overrides named constants of the package for the duration of a run."""
 
 import contextlib
 import importlib
@@ -10,17 +10,18 @@
 
 
 class UnknownConstantError(ValueError):
-    """A name that is no number's; says which part isn't there."""
+    """A name doesn't denote a numeric constant; says which part is missing."""
 
 
 def find_constant(name: str) -> tuple[ModuleType, str]:
-    """Returns the module and attribute of a constant.
+    """Returns the module and the attribute name of a constant.
 
     Args:
-        name: within the package, as `core.fleet.copies._SHARE`.
+        name: name relative to the package, as `core.fleet.copies._SHARE`.
 
     Raises:
-        UnknownConstantError: there is no such number.
+        UnknownConstantError: the module or the numeric constant doesn't
+            exist.
     """
     path, _, attribute = name.rpartition(".")
     try:
@@ -36,15 +37,22 @@
 
 
 @contextlib.contextmanager
-def with_constants(values: Mapping[str, Value]) -> Iterator[None]:
-    """Gives constants other values for a while."""
-    before = []
+def override_constants(values: Mapping[str, Value]) -> Iterator[None]:
+    """Overrides constants within a `with` block and restores them after it.
+
+    Args:
+        values: new values by name, as for `find_constant`.
+
+    Raises:
+        UnknownConstantError: a name doesn't denote a numeric constant.
+    """
+    saved = []
     try:
         for name, value in values.items():
             module, attribute = find_constant(name)
-            before.append((module, attribute, getattr(module, attribute)))
+            saved.append((module, attribute, getattr(module, attribute)))
             setattr(module, attribute, value)
         yield
     finally:
-        for module, attribute, value in reversed(before):
+        for module, attribute, value in reversed(saved):
             setattr(module, attribute, value)
--- a/src/ridgesill/standin/experiment/figures.py
+++ b/src/ridgesill/standin/experiment/figures.py
@@ -1,32 +1,32 @@
-"""Figures of a played day, and their comparison over seeds."""
+"""Figures of an emulated run, and their comparison over seeds."""
 
 import statistics
 from collections.abc import Callable, Sequence
 
 import attrs
 
-from ridgesill.standin.emulator.world import Day
+from ridgesill.standin.emulator.world import EmulationResult
 from ridgesill.standin.emulator.worth import Outcome
 
 _WINDOW_SECONDS = 2.0
 _WORST_WINDOWS = 2
-# The share of a kind's requests that counts as its largest.
+# The share of a kind's requests, by worth, that counts as its largest.
 _LARGEST_SHARE = 0.1
-# Probability that a difference lies within its interval.
+# Confidence level of the intervals of differences.
 _CONFIDENCE = 0.95
 
 
-def measure_day(day: Day) -> dict[str, float]:
-    """Returns the figures of a day; times in seconds."""
-    outcomes = day.outcomes
-    owed = sum(o.arrival.worth for o in outcomes) or 1.0
+def compute_figures(result: EmulationResult) -> dict[str, float]:
+    """Returns the figures of a run by name; times are in seconds."""
+    outcomes = result.outcomes
+    total_worth = sum(o.arrival.worth for o in outcomes) or 1.0
     figures = {
-        "worth": _share(outcomes),
-        "cost": sum(o.cost for o in outcomes) / owed,
+        "worth": _worth_share(outcomes),
+        "cost": sum(o.cost for o in outcomes) / total_worth,
         "worst windows": _worst_windows(outcomes),
-        "refused": _mean(outcomes, lambda o: o.refused > 0),
-        "loads": float(day.loads),
-        "reloads": float(day.reloads),
+        "refused": _share_where(outcomes, lambda o: o.refusals > 0),
+        "loads": float(result.loads),
+        "reloads": float(result.reloads),
     }
     for name in sorted({o.arrival.kind.name for o in outcomes}):
         of_kind = [o for o in outcomes if o.arrival.kind.name == name]
@@ -35,28 +35,32 @@
 
 
 def _measure_kind(name: str, outcomes: list[Outcome]) -> dict[str, float]:
-    firsts = sorted(o.first for o in outcomes if o.complete and o.first)
+    first_event_times = sorted(
+        o.first_event_seconds
+        for o in outcomes
+        if o.complete and o.first_event_seconds
+    )
     by_size = sorted(outcomes, key=lambda o: o.arrival.worth)
     largest = by_size[-max(int(len(by_size) * _LARGEST_SHARE), 1) :]
     return {
-        f"{name} in time": _mean(outcomes, lambda o: o.is_in_time),
-        f"{name} served": _mean(outcomes, lambda o: o.complete),
-        f"{name} first p50": _quantile(firsts, 0.5),
-        f"{name} first p90": _quantile(firsts, 0.9),
-        f"{name} largest tenth": _share(largest),
+        f"{name} in time": _share_where(outcomes, lambda o: o.is_in_time),
+        f"{name} served": _share_where(outcomes, lambda o: o.complete),
+        f"{name} first p50": _quantile(first_event_times, 0.5),
+        f"{name} first p90": _quantile(first_event_times, 0.9),
+        f"{name} largest tenth": _worth_share(largest),
     }
 
 
-def _share(outcomes: Sequence[Outcome]) -> float:
-    """Returns the worth of answers beside that of all requests."""
-    owed = sum(o.arrival.worth for o in outcomes)
-    return sum(o.worth for o in outcomes) / owed if owed else 0.0
+def _worth_share(outcomes: Sequence[Outcome]) -> float:
+    """Returns the worth of the answers as a share of the maximum worth."""
+    total_worth = sum(o.arrival.worth for o in outcomes)
+    return sum(o.worth for o in outcomes) / total_worth if total_worth else 0.0
 
 
-def _mean(
-    outcomes: Sequence[Outcome], is_so: Callable[[Outcome], bool]
+def _share_where(
+    outcomes: Sequence[Outcome], predicate: Callable[[Outcome], bool]
 ) -> float:
-    return sum(map(is_so, outcomes)) / max(len(outcomes), 1)
+    return sum(map(predicate, outcomes)) / max(len(outcomes), 1)
 
 
 def _quantile(values: Sequence[float], share: float) -> float:
@@ -66,12 +70,12 @@
 
 
 def share_by_window(outcomes: Sequence[Outcome]) -> dict[float, float]:
-    """Returns the share of worth of each two seconds, by their start."""
+    """Returns the share of worth in each window of 2 s, by its start."""
     windows: dict[float, list[Outcome]] = {}
     for outcome in outcomes:
         start = outcome.arrival.at // _WINDOW_SECONDS * _WINDOW_SECONDS
         windows.setdefault(start, []).append(outcome)
-    return {start: _share(windows[start]) for start in sorted(windows)}
+    return {start: _worth_share(windows[start]) for start in sorted(windows)}
 
 
 def _worst_windows(outcomes: Sequence[Outcome]) -> float:
@@ -81,10 +85,13 @@
 
 @attrs.frozen
 class Difference:
-    """A figure of a variant beside the first one's, seed by seed.
+    """A figure of a variant compared with the first variant's.
 
     Attributes:
-        half_width: of the interval of the mean difference.
+        mean: mean of the figure over the seeds.
+        difference: mean difference from the first variant, paired by seed.
+        half_width: half of the width of the difference's confidence
+            interval; infinite with fewer than two seeds.
     """
 
     mean: float
@@ -92,8 +99,15 @@
     half_width: float
 
 
-def compare(first: Sequence[float], other: Sequence[float]) -> Difference:
-    """Returns how much a variant differs, by paired seeds."""
+def compare_paired(
+    first: Sequence[float], other: Sequence[float]
+) -> Difference:
+    """Compares a variant's values with the first variant's.
+
+    Args:
+        first: values of the first variant, in order of seeds.
+        other: values of the other variant, for the same seeds.
+    """
     differences = [b - a for a, b in zip(first, other, strict=True)]
     mean = statistics.fmean(differences)
     return Difference(statistics.fmean(other), mean, _half_width(differences))
@@ -102,7 +116,8 @@
 def _half_width(values: Sequence[float]) -> float:
     if len(values) < 2:
         return float("inf")
-    from scipy import stats  # Heavy, and only the tool needs it.
+    # Optional dependency, slow to import and used by experiments only.
+    from scipy import stats
 
     error = statistics.stdev(values) / len(values) ** 0.5
     return float(stats.t.ppf((1 + _CONFIDENCE) / 2, len(values) - 1)) * error
--- a/src/ridgesill/standin/experiment/runs.py
+++ b/src/ridgesill/standin/experiment/runs.py
@@ -1,4 +1,4 @@
-"""Plays scenarios with variants and seeds in parallel processes."""
+"""Runs scenarios with all variants and seeds in parallel processes."""
 
 import itertools
 import os
@@ -7,22 +7,29 @@
 
 import attrs
 
-from ridgesill.standin.emulator.clock import run_virtually
+from ridgesill.standin.emulator.clock import run_on_virtual_clock
 from ridgesill.standin.emulator.scenario import Scenario
-from ridgesill.standin.emulator.world import Day, World
-from ridgesill.standin.experiment.constants import with_constants
-from ridgesill.standin.experiment.figures import measure_day, share_by_window
+from ridgesill.standin.emulator.world import EmulatedDeployment, EmulationResult
+from ridgesill.standin.experiment.constants import override_constants
+from ridgesill.standin.experiment.figures import (
+    compute_figures,
+    share_by_window,
+)
 from ridgesill.standin.experiment.plan import Plan, Variant
 
-# Processors left to others.
-_SPARE = 1
+# Processors left free for other programs.
+_SPARE_PROCESSORS = 1
 
 
 @attrs.frozen
 class Run:
-    """One played day.
+    """The results of one emulated run.
 
     Attributes:
+        scenario: name of the scenario.
+        variant: name of the variant.
+        seed: seed of the run.
+        figures: figures by name; times are in seconds.
         windows: share of worth by the start of each window, in seconds.
     """
 
@@ -33,39 +40,39 @@
     windows: dict[float, float]
 
 
-def play_day(scenario: Scenario, seed: int) -> Day:
-    """Returns what was seen of a scenario's day."""
+def run_scenario(scenario: Scenario, seed: int) -> EmulationResult:
+    """Runs a scenario with a seed on a virtual clock."""
 
-    async def play() -> Day:
-        return await World(scenario, seed).play()
+    async def run() -> EmulationResult:
+        return await EmulatedDeployment(scenario, seed).run()
 
-    return run_virtually(play())
+    return run_on_virtual_clock(run())
 
 
-def _run(scenario: Scenario, variant: Variant, seed: int) -> Run:
-    with with_constants(variant.constants):
-        day = play_day(scenario, seed)
+def _run_once(scenario: Scenario, variant: Variant, seed: int) -> Run:
+    with override_constants(variant.constants):
+        result = run_scenario(scenario, seed)
     return Run(
         scenario.name,
         variant.name,
         seed,
-        measure_day(day),
-        share_by_window(day.outcomes),
+        compute_figures(result),
+        share_by_window(result.outcomes),
     )
 
 
-def play_plan(plan: Plan, jobs: int = 0) -> Iterator[Run]:
-    """Yields runs as they end.
+def run_plan(plan: Plan, jobs: int = 0) -> Iterator[Run]:
+    """Runs a plan and yields the runs in the order in which they end.
 
     Args:
-        plan: what to play.
-        jobs: processes; 0 for all processors but one.
+        plan: plan of the experiment.
+        jobs: number of processes; 0 for all processors but one.
     """
-    workers = jobs or max((os.cpu_count() or 2) - _SPARE, 1)
+    workers = jobs or max((os.cpu_count() or 2) - _SPARE_PROCESSORS, 1)
     seeds: Iterable[int] = range(1, plan.seeds + 1)
     with ProcessPoolExecutor(workers) as pool:
         futures = [
-            pool.submit(_run, scenario, variant, seed)
+            pool.submit(_run_once, scenario, variant, seed)
             for scenario, variant, seed in itertools.product(
                 plan.scenarios, plan.variants, seeds
             )
--- a/src/ridgesill/standin/process.py
+++ b/src/ridgesill/standin/process.py
@@ -1,4 +1,4 @@
-"""The process of a stand-in: its HTTP interface, announcements, journal."""
+"""The stand-in process: its HTTP interface, announcements and journal."""
 
 import asyncio
 import hashlib
@@ -39,23 +39,28 @@
 )
 from ridgesill.standin.settings import StandInSettings, read_stand_in
 
-_THREADS = 128
-_BODY = 8 * 2**20
+_MAX_THREADS = 128
+_MAX_BODY_BYTES = 8 * 2**20
 _DEFAULT_TOKENS = 8
-_ECHOED = {"HTTP_X_TRACE": "Trace", "HTTP_X_RIDGESILL_TEAM": "Team"}
-_EPOCH_KEY = "HTTP_" + EPOCH_HEADER.upper().replace("-", "_")
+_ECHOED_HEADERS = {"HTTP_X_TRACE": "Trace", "HTTP_X_RIDGESILL_TEAM": "Team"}
+_EPOCH_ENVIRON_KEY = "HTTP_" + EPOCH_HEADER.upper().replace("-", "_")
 
 
 class Journal:
-    """Appends what a stand-in did to a file, a JSON line each."""
+    """Appends the events of a stand-in to a file, as JSON lines.
+
+    Args:
+        path: path of the file; "" to discard all events.
+        runner: name of the stand-in, written with each event.
+    """
 
     def __init__(self, path: str, runner: str) -> None:
         self._file: TextIO | None = open(path, "a") if path else None  # noqa: SIM115
         self._runner = runner
         self._lock = threading.Lock()
 
-    def note(self, event: str, **fields: Any) -> None:
-        """Adds an event."""
+    def record(self, event: str, **fields: Any) -> None:
+        """Appends an event with the current time; thread-safe."""
         if self._file is None:
             return
         line = {"event": event, "runner": self._runner, "at": time.time()}
@@ -65,7 +70,13 @@
 
 
 class ModelApp:
-    """A model runner's HTTP interface."""
+    """WSGI application of a model runner.
+
+    Args:
+        settings: settings of the stand-in.
+        engine: engine that runs the requests and orders.
+        loop: event loop of the engine; requests arrive on other threads.
+    """
 
     def __init__(
         self,
@@ -80,25 +91,29 @@
     def __call__(
         self, environ: dict[str, Any], start_response: StartResponse
     ) -> Iterable[bytes]:
-        """Serves one request."""
+        """Serves a completion request or an order."""
         path = environ["PATH_INFO"]
-        body = json.loads(read_body(environ, _BODY) or b"{}")
+        body = json.loads(read_body(environ, _MAX_BODY_BYTES) or b"{}")
         if path.startswith("/v1/") and path.endswith("completions"):
-            return self._complete(environ, body, start_response)
-        answer = self._order(path, body, int(environ.get(_EPOCH_KEY, "0")))
+            return self._handle_completion(environ, body, start_response)
+        answer = self._handle_order(
+            path, body, int(environ.get(_EPOCH_ENVIRON_KEY, "0"))
+        )
         return send_answer(answer, start_response)
 
-    def _order(self, path: str, body: dict[str, Any], epoch: int) -> Answer:
+    def _handle_order(
+        self, path: str, body: dict[str, Any], epoch: int
+    ) -> Answer:
         adapter = body.get("lora_name", "")
         try:
-            self._wait(self._carry_out(path, adapter, epoch))
+            self._run_on_loop(self._execute_order(path, adapter, epoch))
         except FencedError as error:
             return json_answer(409, {"error": str(error)})
         except OrderError as error:
             return json_answer(500, {"error": str(error)})
         return json_answer(200, {})
 
-    async def _carry_out(self, path: str, adapter: str, epoch: int) -> None:
+    async def _execute_order(self, path: str, adapter: str, epoch: int) -> None:
         if path == "/v1/load_lora_adapter":
             await self._engine.load(adapter, epoch)
         elif path == "/v1/unload_lora_adapter":
@@ -106,25 +121,29 @@
         elif path == "/v1/fence":
             self._engine.fence(epoch)
         else:
-            raise OrderError(f"no such order: {path}")
+            raise OrderError(
+                "no such order; expected /v1/load_lora_adapter, "
+                f"/v1/unload_lora_adapter or /v1/fence: {path}"
+            )
 
-    def _wait(self, work: Any) -> Any:
-        return asyncio.run_coroutine_threadsafe(work, self._loop).result()
+    def _run_on_loop(self, coroutine: Any) -> Any:
+        return asyncio.run_coroutine_threadsafe(coroutine, self._loop).result()
 
-    def _complete(
+    def _handle_completion(
         self,
         environ: dict[str, Any],
         body: dict[str, Any],
         start_response: StartResponse,
     ) -> Iterable[bytes]:
         request = environ.get("HTTP_X_REQUEST_ID", "") or secrets.token_hex(4)
-        # A retry may reach the same engine; sequences need names of their own.
+        # A retry with the same request id may reach the same engine, so each
+        # sequence gets a unique name.
         name = f"{request}/{secrets.token_hex(3)}"
         tokens: queue.SimpleQueue[int | None | Exception] = queue.SimpleQueue()
-        started = self._wait(self._start(name, body, tokens))
-        if isinstance(started, Exception):
-            status = 404 if isinstance(started, AbsentError) else 503
-            answer = json_answer(status, {"error": repr(started)})
+        error = self._run_on_loop(self._submit(name, body, tokens))
+        if isinstance(error, Exception):
+            status = 404 if isinstance(error, AbsentError) else 503
+            answer = json_answer(status, {"error": repr(error)})
             headers = [
                 ("Content-Type", "application/json"),
                 (UNSTARTED_HEADER, "true"),
@@ -132,16 +151,16 @@
             ]
             start_response(f"{status} Unstarted", headers)
             return [answer.body]
-        words = self._words(body)
+        words = self._make_words(body)
         cancel = lambda: self._loop.call_soon_threadsafe(  # noqa: E731
             self._engine.cancel, name
         )
         if body.get("stream"):
             start_response("200 OK", [("Content-Type", "text/event-stream")])
             return _EventStream(words, tokens, cancel)
-        return self._collect(words, tokens, start_response)
+        return self._send_whole(words, tokens, start_response)
 
-    async def _start(
+    async def _submit(
         self, name: str, body: dict[str, Any], tokens: queue.SimpleQueue
     ) -> Exception | None:
         prompt = json.dumps(body.get("messages", body.get("prompt", "")))
@@ -155,13 +174,17 @@
             return error
         return None
 
-    def _words(self, body: dict[str, Any]) -> list[str]:
+    def _make_words(self, body: dict[str, Any]) -> list[str]:
+        """Returns the first words of an answer, which identify its source.
+
+        Later words are numbered.
+        """
         prompt = json.dumps(body.get("messages", body.get("prompt", "")))
         digest = hashlib.sha256(prompt.encode()).hexdigest()[:12]
         settings = self._settings
         return [body["model"], settings.name, settings.data_centre, digest]
 
-    def _collect(
+    def _send_whole(
         self,
         words: list[str],
         tokens: queue.SimpleQueue,
@@ -173,24 +196,28 @@
                 return send_answer(
                     json_answer(500, {"error": "cut"}), start_response
                 )
-            content.append(_token(words, item))
+            content.append(_token_text(words, item))
         choice = {"index": 0, "message": {"content": " ".join(content)}}
         return send_answer(
             json_answer(200, {"choices": [choice]}), start_response
         )
 
 
-def _token(words: list[str], number: int) -> str:
+def _token_text(words: list[str], number: int) -> str:
     return words[number] if number < len(words) else f"t{number}"
 
 
 class _EventStream:
-    """A stream of events whose closing cancels the sequence."""
+    """Yields the answer as server-sent events.
+
+    The server calls `close` after the last event or when the caller
+    disconnects.
+    """
 
     def __init__(
         self, words: list[str], tokens: queue.SimpleQueue, cancel: Any
     ) -> None:
-        self._words = words
+        self._make_words = words
         self._tokens = tokens
         self._cancel = cancel
 
@@ -198,18 +225,26 @@
         while (item := self._tokens.get()) is not None:
             if isinstance(item, Exception):
                 raise item
-            delta = {"content": _token(self._words, item)}
+            delta = {"content": _token_text(self._make_words, item)}
             event = {"choices": [{"index": 0, "delta": delta}]}
             yield b"data: " + json.dumps(event).encode() + b"\n\n"
         yield b"data: [DONE]\n\n"
 
     def close(self) -> None:
-        """Cancels what has not been read."""
+        """Cancels the sequence; has no effect if it has ended."""
         self._cancel()
 
 
 class PlainApp:
-    """A plain service that gives out numbered tickets."""
+    """WSGI application of a plain service that returns numbered tickets.
+
+    Args:
+        settings: settings of the stand-in.
+        journal: records each call.
+
+    Attributes:
+        active: number of requests in progress.
+    """
 
     def __init__(self, settings: StandInSettings, journal: Journal) -> None:
         self._settings = settings
@@ -221,14 +256,14 @@
     def __call__(
         self, environ: dict[str, Any], start_response: StartResponse
     ) -> Iterable[bytes]:
-        """Serves one request; `X-Delay` holds it for so many seconds."""
-        body = read_body(environ, _BODY)
+        """Serves a request; delays it by the seconds in its `X-Delay`."""
+        body = read_body(environ, _MAX_BODY_BYTES)
         with self._lock:
             self.active += 1
         try:
             delay = float(environ.get("HTTP_X_DELAY", "0"))
             number = next(self._numbers)
-            self._journal.note(
+            self._journal.record(
                 "call",
                 request=environ.get("HTTP_X_REQUEST_ID", ""),
                 key=environ.get("HTTP_IDEMPOTENCY_KEY", ""),
@@ -236,7 +271,7 @@
                 path=environ["PATH_INFO"],
                 body=body.decode("utf-8", "replace"),
             )
-            time.sleep(delay or self._settings.model.step)
+            time.sleep(delay or self._settings.model.step_seconds)
         finally:
             with self._lock:
                 self.active -= 1
@@ -248,7 +283,7 @@
         }
         echoed = tuple(
             (f"X-Echo-{name}", environ[field])
-            for field, name in _ECHOED.items()
+            for field, name in _ECHOED_HEADERS.items()
             if field in environ
         )
         whole = attrs.evolve(json_answer(200, answer), headers=echoed)
@@ -256,7 +291,13 @@
 
 
 class Announcer:
-    """Tells nodes what the stand-in is, again and again."""
+    """Sends announcements of the stand-in to nodes at regular intervals.
+
+    Args:
+        settings: settings with the nodes' addresses and the interval.
+        engine: engine to announce.
+        plain: plain service to announce instead; None for a model runner.
+    """
 
     def __init__(
         self, settings: StandInSettings, engine: Engine, plain: PlainApp | None
@@ -267,8 +308,8 @@
         self._numbers = itertools.count(1)
         self._pool = urllib3.PoolManager(timeout=1.0, retries=False)
 
-    def announcement(self) -> Announcement:
-        """Returns what is to be said now."""
+    def make_announcement(self) -> Announcement:
+        """Returns an announcement of the current state, with a new number."""
         settings = self._settings
         engine = self._engine
         is_plain = self._plain is not None
@@ -283,7 +324,7 @@
             settings.model.batch,
             tuple(sorted(engine.resident)),
             active,
-            engine.unloading,
+            engine.is_draining,
             next(self._numbers),
         )
 
@@ -291,14 +332,14 @@
         """Announces until cancelled."""
         loop = asyncio.get_running_loop()
         while True:
-            said = self.announcement()
+            announcement = self.make_announcement()
             await asyncio.sleep(self._settings.report_lag)
-            await loop.run_in_executor(None, self.tell, said)
+            await loop.run_in_executor(None, self.send, announcement)
             await asyncio.sleep(self._settings.announce_seconds)
 
-    def tell(self, said: Announcement) -> None:
-        """Sends an announcement to every node listed."""
-        body = json.dumps(codec.to_builtins(said)).encode()
+    def send(self, announcement: Announcement) -> None:
+        """Sends an announcement to all nodes; ignores unreachable ones."""
+        body = json.dumps(codec.to_builtins(announcement)).encode()
         for address in self._settings.announce:
             try:
                 self._pool.request(
@@ -311,12 +352,12 @@
 async def _run(settings: StandInSettings) -> None:
     loop = asyncio.get_running_loop()
     journal = Journal(settings.journal, settings.name)
-    engine = Engine(settings.model, random.Random(), journal.note)
+    engine = Engine(settings.model, random.Random(), journal.record)
     plain = None
     app: Any = ModelApp(settings, engine, loop)
     if settings.kind == "plain":
         app = plain = PlainApp(settings, journal)
-    limits = ServerLimits(_THREADS, 64 * 1024, _BODY, 30.0)
+    limits = ServerLimits(_MAX_THREADS, 64 * 1024, _MAX_BODY_BYTES, 30.0)
     server = HttpServer(settings.listen, app, limits)
     server.start()
     announcer = Announcer(settings, engine, plain)
@@ -328,8 +369,10 @@
         asyncio.create_task(announcer.run()),
     ]
     await stop.wait()
-    engine.unloading = True
-    await loop.run_in_executor(None, announcer.tell, announcer.announcement())
+    engine.is_draining = True
+    await loop.run_in_executor(
+        None, announcer.send, announcer.make_announcement()
+    )
     while engine.active or (plain and plain.active):
         await asyncio.sleep(0.05)
     for task in tasks:
@@ -338,5 +381,12 @@
 
 
 def run_stand_in(path: str) -> None:
-    """Runs a stand-in from its settings file until SIGTERM."""
+    """Runs a stand-in until SIGTERM or SIGINT, then drains its requests.
+
+    Args:
+        path: path of the settings file.
+
+    Raises:
+        IniError: the settings are wrong.
+    """
     asyncio.run(_run(read_stand_in(path)))
--- a/src/ridgesill/standin/settings.py
+++ b/src/ridgesill/standin/settings.py
@@ -1,4 +1,4 @@
-"""The settings of a stand-in, from one INI file."""
+"""The settings of a stand-in, read from an INI file."""
 
 import attrs
 
@@ -17,12 +17,19 @@
 
 @attrs.frozen
 class StandInSettings:
-    """A stand-in's settings.
+    """The settings of a stand-in.
 
     Attributes:
-        announce: addresses of the nodes' runner listeners.
-        journal: path of the file that lists what it did.
-        report_lag: seconds by which its announcements lag.
+        name: name of the runner.
+        kind: `model` or `plain`.
+        service: service that the runner belongs to.
+        data_centre: name of the data centre.
+        listen: address to serve requests on.
+        announce: addresses of the nodes' listeners for runners.
+        journal: path of the journal file; "" for none.
+        announce_seconds: interval between announcements, in seconds.
+        report_lag: seconds by which announcements are delayed.
+        model: capacity and speed of the engine.
     """
 
     name: str
@@ -38,12 +45,16 @@
 
 
 def to_addresses(text: str) -> tuple[str, ...]:
-    """Returns addresses separated by commas."""
+    """Parses addresses separated by commas."""
     return tuple(to_address(part.strip()) for part in text.split(","))
 
 
 def read_stand_in(path: str) -> StandInSettings:
-    """Returns the settings in a file, or raises `IniError`."""
+    """Reads the settings from a file.
+
+    Raises:
+        IniError: the file can't be read, or a setting is missing or wrong.
+    """
     reader = IniReader.open(path)
     base = EngineModel()
     value = reader.value
@@ -51,12 +62,12 @@
     model = EngineModel(
         value("engine", "slots", to_integer(0, 10_000), base.slots),
         value("engine", "batch", to_integer(1, 10_000), base.batch),
-        value("engine", "load_seconds", seconds, base.load),
-        value("engine", "step_seconds", seconds, base.step),
-        value("engine", "sequence_seconds", seconds, base.per_sequence),
-        value("engine", "adapter_seconds", seconds, base.per_adapter),
-        value("engine", "prefill_seconds", seconds, base.prefill),
-        value("engine", "prefixes", to_integer(1, 10**6), base.prefixes),
+        value("engine", "load_seconds", seconds, base.load_seconds),
+        value("engine", "step_seconds", seconds, base.step_seconds),
+        value("engine", "sequence_seconds", seconds, base.sequence_seconds),
+        value("engine", "adapter_seconds", seconds, base.adapter_seconds),
+        value("engine", "prefill_seconds", seconds, base.prefill_seconds),
+        value("engine", "prefixes", to_integer(1, 10**6), base.cached_prefixes),
         value("engine", "failing_loads", to_number(0, 1), 0.0),
         value("engine", "fenced", to_flag, False),
     )
--- a/src/ridgesill/standin/traces.py
+++ b/src/ridgesill/standin/traces.py
@@ -1,6 +1,6 @@
-"""Traces of requests: their format, and seeded makers of both workloads.
+"""Traces of requests: file format, generation from a seed and analysis.
 
-A trace is a file of JSON lines, one `TracedRequest` each, in order of time.
+A trace file has one `TracedRequest` per line as JSON, in order of time.
 """
 
 import random
@@ -13,18 +13,22 @@
 
 @attrs.frozen
 class TracedRequest:
-    """A request of a trace and the outcome that is asked of it.
+    """A request in a trace, with the outcome to expect from a replay.
 
     Attributes:
-        at: seconds since the trace began.
-        name: unique within the trace.
-        adapter: an adapter's name; empty for a plain service.
-        service: a plain service's name; empty for an adapter.
-        tokens: how many tokens are generated.
-        patience: seconds within which the first token is wanted.
-        repeatable: whether it may run twice.
-        prompt: names the prompt; equal prompts share a prefix.
-        outcome: `completed`, or `refused` where it must not run.
+        at: when it is sent, in seconds from the start of the trace.
+        name: name that is unique within the trace.
+        adapter: name of an adapter; "" for a call of a plain service.
+        service: name of a plain service; "" for a model request.
+        team: name of the team that sends the request.
+        tokens: number of tokens to generate.
+        priority: priority that is sent with the request; 0 is the most
+            urgent.
+        patience: timeout that is sent with the request, in seconds.
+        repeatable: whether the request may run twice; otherwise it is sent
+            with an idempotency key.
+        prompt: text of the prompt; equal prompts share a prefix.
+        outcome: `completed`, or `refused` if the request must not run.
     """
 
     at: float
@@ -42,47 +46,50 @@
 
 @attrs.frozen
 class Workload:
-    """What a trace is made of.
+    """The parameters of a generated trace.
 
     Attributes:
-        seconds: its length.
-        rate: model requests a second.
-        adapters: how many there are.
-        exponent: of the Zipf law of their popularity.
-        shift: seconds after which half of the popular ones are others.
-        popular: how many count as popular.
-        burst: seconds between bursts of one adapter.
-        tokens: mean of tokens generated.
-        plain_rate: calls a second of the plain service.
-        plain: name of the plain service.
+        seconds: duration of the trace.
+        rate: mean model requests per second, without bursts.
+        adapters: number of adapters.
+        exponent: exponent of Zipf's law for the popularity of adapters.
+        shift_seconds: interval after which half of the popular adapters are
+            replaced by others.
+        popular_adapters: number of adapters that count as popular.
+        burst_interval_seconds: mean time between bursts for one adapter.
+        burst_size: requests in a burst.
+        mean_tokens: mean number of generated tokens.
+        plain_rate: mean calls per second of the plain service.
+        plain_service: name of the plain service.
+        teams: number of teams; adapters are assigned to them in turn.
     """
 
     seconds: float
     rate: float
     adapters: int = 3000
     exponent: float = 1.1
-    shift: float = 150.0
-    popular: int = 50
-    burst: float = 40.0
+    shift_seconds: float = 150.0
+    popular_adapters: int = 50
+    burst_interval_seconds: float = 40.0
     burst_size: int = 20
-    tokens: float = 100.0
+    mean_tokens: float = 100.0
     plain_rate: float = 1.0
-    plain: str = "rondaapp"
+    plain_service: str = "rondaapp"
     teams: int = 12
 
 
 def adapter_name(number: int) -> str:
-    """Returns the name of an adapter of the made workloads."""
+    """Returns the name of an adapter in generated traces."""
     return f"adapter-{number:04d}"
 
 
 def make_trace(workload: Workload, seed: int) -> list[TracedRequest]:
-    """Returns a trace; equal arguments give equal traces."""
+    """Generates a trace; equal arguments give equal traces."""
     rng = random.Random(seed)
     requests = [
-        *_model_requests(workload, rng),
-        *_bursts(workload, rng),
-        *_plain_calls(workload, rng),
+        *_make_model_requests(workload, rng),
+        *_make_bursts(workload, rng),
+        *_make_plain_calls(workload, rng),
     ]
     requests.sort(key=lambda request: request.at)
     return [
@@ -91,7 +98,7 @@
     ]
 
 
-def _model_requests(
+def _make_model_requests(
     workload: Workload, rng: random.Random
 ) -> Iterator[TracedRequest]:
     ranks = range(workload.adapters)
@@ -99,20 +106,20 @@
     order = list(ranks)
     rng.shuffle(order)
     at = 0.0
-    next_shift = workload.shift
-    totals = _cumulate(weights)
+    next_shift = workload.shift_seconds
+    totals = _cumulative_sums(weights)
     while True:
         at += rng.expovariate(workload.rate)
         if at >= workload.seconds:
             return
         if at >= next_shift:
-            _shift(order, workload, rng)
-            next_shift += workload.shift
+            _shift_popularity(order, workload, rng)
+            next_shift += workload.shift_seconds
         number = rng.choices(order, cum_weights=totals)[0]
-        yield _request(at, number, workload, rng)
+        yield _make_request(at, number, workload, rng)
 
 
-def _cumulate(weights: Iterable[float]) -> list[float]:
+def _cumulative_sums(weights: Iterable[float]) -> list[float]:
     total = 0.0
     totals = []
     for weight in weights:
@@ -121,17 +128,19 @@
     return totals
 
 
-def _shift(order: list[int], workload: Workload, rng: random.Random) -> None:
-    """Swaps half of the popular adapters with unpopular ones."""
-    for rank in range(0, workload.popular, 2):
-        other = rng.randrange(workload.popular, workload.adapters)
+def _shift_popularity(
+    order: list[int], workload: Workload, rng: random.Random
+) -> None:
+    """Swaps every second popular adapter with a random unpopular one."""
+    for rank in range(0, workload.popular_adapters, 2):
+        other = rng.randrange(workload.popular_adapters, workload.adapters)
         order[rank], order[other] = order[other], order[rank]
 
 
-def _request(
+def _make_request(
     at: float, number: int, workload: Workload, rng: random.Random
 ) -> TracedRequest:
-    tokens = max(int(rng.expovariate(1.0 / workload.tokens)), 4)
+    tokens = max(int(rng.expovariate(1.0 / workload.mean_tokens)), 4)
     return TracedRequest(
         at,
         "",
@@ -144,18 +153,20 @@
     )
 
 
-def _bursts(workload: Workload, rng: random.Random) -> Iterator[TracedRequest]:
-    at = rng.uniform(0, workload.burst)
+def _make_bursts(
+    workload: Workload, rng: random.Random
+) -> Iterator[TracedRequest]:
+    at = rng.uniform(0, workload.burst_interval_seconds)
     while at < workload.seconds:
         number = rng.randrange(workload.adapters)
         for _ in range(workload.burst_size):
             moment = at + rng.uniform(0, 2.0)
             if moment < workload.seconds:
-                yield _request(moment, number, workload, rng)
-        at += rng.expovariate(1.0 / workload.burst)
+                yield _make_request(moment, number, workload, rng)
+        at += rng.expovariate(1.0 / workload.burst_interval_seconds)
 
 
-def _plain_calls(
+def _make_plain_calls(
     workload: Workload, rng: random.Random
 ) -> Iterator[TracedRequest]:
     at = 0.0
@@ -166,24 +177,25 @@
         yield TracedRequest(
             at,
             "",
-            service=workload.plain,
+            service=workload.plain_service,
             priority=0,
             repeatable=rng.random() > 0.5,
         )
 
 
 def write_trace(requests: Iterable[TracedRequest], path: Path) -> None:
-    """Writes a trace."""
+    """Writes a trace to a file."""
     with path.open("wb") as file:
         for request in requests:
             file.write(msgspec.json.encode(request) + b"\n")
 
 
 def read_trace(path: Path) -> list[TracedRequest]:
-    """Returns the trace in a file.
+    """Reads a trace from a file.
 
     Raises:
-        ValueError: a line holds no request; says which.
+        ValueError: a line isn't a valid request; names the line.
+        OSError: the file can't be read.
     """
     requests = []
     for number, line in enumerate(path.read_bytes().splitlines(), 1):
@@ -195,31 +207,35 @@
 
 
 def count_offline_misses(requests: Iterable[TracedRequest], slots: int) -> int:
-    """Returns how often an adapter is absent with the future known.
+    """Counts the misses of Belady's optimal replacement over a trace.
+
+    This is a lower bound for any policy. All slots form one pool, and the
+    adapter whose next use is farthest in the future is evicted; that may be
+    the one just requested.
 
-    The bound is Belady's: over pooled slots, what is needed last leaves. A
-    request for an absent adapter need not displace anything, if it is needed
-    again later than all that is held.
+    Args:
+        requests: trace, in order of time; plain calls are ignored.
+        slots: total number of adapter slots.
     """
     sequence = [request.adapter for request in requests if request.adapter]
-    following = _next_uses(sequence)
+    next_use = _next_uses(sequence)
     held: dict[str, int] = {}
     misses = 0
     for position, adapter in enumerate(sequence):
         if adapter not in held:
             misses += 1
-        held[adapter] = following[position]
+        held[adapter] = next_use[position]
         if len(held) > slots:
-            last = max(held, key=held.__getitem__)
-            del held[last]
+            farthest = max(held, key=held.__getitem__)
+            del held[farthest]
     return misses
 
 
 def _next_uses(sequence: list[str]) -> list[int]:
-    following = [len(sequence)] * len(sequence)
-    seen: dict[str, int] = {}
+    next_use = [len(sequence)] * len(sequence)
+    next_position: dict[str, int] = {}
     for position in range(len(sequence) - 1, -1, -1):
         adapter = sequence[position]
-        following[position] = seen.get(adapter, len(sequence))
-        seen[adapter] = position
-    return following
+        next_use[position] = next_position.get(adapter, len(sequence))
+        next_position[adapter] = position
+    return next_use
--- a/testing/core/fleet/test_limit_loads.py
+++ b/testing/core/fleet/test_limit_loads.py
@@ -11,9 +11,9 @@
 
 from ridgesill.core.serving.rates import FrontRates
 from ridgesill.standin.emulator.quotas import (
-    Plan,
+    FrontOutage,
     QuotaEmulation,
-    Silence,
+    QuotaPlan,
     make_limit_plan,
 )
 from testing.soak.limits import allowed
@@ -21,7 +21,7 @@
 FRONTS = [6, 74, 195, 330]
 
 
-def emulate(plan: Plan, seed: int) -> QuotaEmulation:
+def emulate(plan: QuotaPlan, seed: int) -> QuotaEmulation:
     return QuotaEmulation(
         plan, lambda rng: FrontRates(rng, local_by_default=True), seed
     )
@@ -34,9 +34,9 @@
         self, fronts: int, limit: float, offered: float
     ) -> None:
         plan = make_limit_plan(fronts, limit, offered)
-        plays = [emulate(plan, seed).play() for seed in (1, 2, 3)]
-        assert max(play.most_in_window for play in plays) <= allowed(limit)
-        passed = [play.passed_second_half for play in plays]
+        plays = [emulate(plan, seed).run() for seed in (1, 2, 3)]
+        assert max(play.peak_window_tokens for play in plays) <= allowed(limit)
+        passed = [play.second_half_tokens_per_second for play in plays]
         assert statistics.mean(passed) >= 0.9 * limit
 
     @pytest.mark.parametrize("fronts", FRONTS)
@@ -44,10 +44,10 @@
         plan = attrs.evolve(
             make_limit_plan(fronts, 3.0, 20.0),
             owner_lost_at=10.0,
-            owner_seconds=8.0,
+            ownerless_seconds=8.0,
         )
         for seed in (1, 2, 3):
-            assert emulate(plan, seed).play().most_in_window <= allowed(3.0)
+            assert emulate(plan, seed).run().peak_window_tokens <= allowed(3.0)
 
     @pytest.mark.parametrize("seed", [1, 2, 3])
     def test_a_small_share_of_many_offers_outlives_the_owner(
@@ -59,11 +59,11 @@
             make_limit_plan(330, 1.8, 900.0),
             seconds=20.0,
             owner_lost_at=8.0,
-            owner_seconds=1.5,
+            ownerless_seconds=1.5,
         )
-        play = emulate(plan, seed).play()
-        assert play.most_in_window <= allowed(1.8)
-        assert play.passed_second_half > 0
+        play = emulate(plan, seed).run()
+        assert play.peak_window_tokens <= allowed(1.8)
+        assert play.second_half_tokens_per_second > 0
 
     @pytest.mark.parametrize("fronts", FRONTS)
     def test_it_is_kept_while_half_of_the_fronts_are_cut_off(
@@ -71,15 +71,17 @@
     ) -> None:
         plan = attrs.evolve(
             make_limit_plan(fronts, 3.0, 20.0),
-            silences=(Silence(10.0, 8.0, 0.5),),
+            outages=(FrontOutage(10.0, 8.0, 0.5),),
         )
         for seed in (1, 2, 3):
-            assert emulate(plan, seed).play().most_in_window <= allowed(3.0)
+            assert emulate(plan, seed).run().peak_window_tokens <= allowed(3.0)
 
     @pytest.mark.parametrize("fronts", FRONTS)
     def test_it_is_kept_when_it_is_lowered(self, fronts: int) -> None:
         plan = attrs.evolve(
-            make_limit_plan(fronts, 10.0, 40.0), lowered_at=13.0, lowered_to=0.3
+            make_limit_plan(fronts, 10.0, 40.0),
+            lowered_at=13.0,
+            lowered_share=0.3,
         )
         for seed in (1, 2, 3):
-            assert emulate(plan, seed).play().most_in_window <= allowed(3.0)
+            assert emulate(plan, seed).run().peak_window_tokens <= allowed(3.0)
--- a/testing/core/fleet/test_rate_ledger.py
+++ b/testing/core/fleet/test_rate_ledger.py
@@ -10,9 +10,9 @@
     RateUse,
 )
 from ridgesill.standin.emulator.quotas import (
-    Plan,
+    FrontOutage,
     QuotaEmulation,
-    Silence,
+    QuotaPlan,
 )
 
 QUOTA = Quota(1000.0, 1000.0, counts_tokens=True)
@@ -137,55 +137,55 @@
     ) -> None:
         # Load pattern: 7.5 times its usual for 7 s, at fronts that see 0.4
         # requests a second of it each, of 200 to 9,200 tokens.
-        plan = Plan(fronts, quota, seconds=20.0)
-        play = QuotaEmulation(plan, FrontRates).play()
-        assert play.excess < 0.1 * play.allowed_in_window + SLACK
-        assert play.refused_calm == 0
-        assert play.passed_hot > 0.8
+        plan = QuotaPlan(fronts, quota, seconds=20.0)
+        play = QuotaEmulation(plan, FrontRates).run()
+        assert play.excess_tokens < 0.1 * play.allowed_window_tokens + SLACK
+        assert play.refused_share_before_hot == 0
+        assert play.hot_passed_share > 0.8
 
     def test_two_fifths_of_the_fronts_are_cut_off(self) -> None:
-        plan = Plan(
-            74, LARGEST, seconds=20.0, silences=(Silence(9.0, 4.5, 0.4),)
+        plan = QuotaPlan(
+            74, LARGEST, seconds=20.0, outages=(FrontOutage(9.0, 4.5, 0.4),)
         )
-        play = QuotaEmulation(plan, FrontRates).play()
-        assert play.excess < 0.1 * play.allowed_in_window + SLACK
+        play = QuotaEmulation(plan, FrontRates).run()
+        assert play.excess_tokens < 0.1 * play.allowed_window_tokens + SLACK
 
     def test_seven_tenths_of_the_fronts_are_killed_twice(self) -> None:
-        silences = tuple(Silence(at, 1.0, 0.7, True) for at in (11.0, 15.0))
-        plan = Plan(74, LARGEST, seconds=20.0, silences=silences)
-        play = QuotaEmulation(plan, FrontRates).play()
-        assert play.excess < 0.1 * play.allowed_in_window + SLACK
+        outages = tuple(FrontOutage(at, 1.0, 0.7, True) for at in (11.0, 15.0))
+        plan = QuotaPlan(74, LARGEST, seconds=20.0, outages=outages)
+        play = QuotaEmulation(plan, FrontRates).run()
+        assert play.excess_tokens < 0.1 * play.allowed_window_tokens + SLACK
 
     def test_the_owner_is_lost_as_a_customer_turns_hot(self) -> None:
-        plan = Plan(
-            74, LARGEST, seconds=20.0, owner_lost_at=9.5, owner_seconds=3.5
+        plan = QuotaPlan(
+            74, LARGEST, seconds=20.0, owner_lost_at=9.5, ownerless_seconds=3.5
         )
-        play = QuotaEmulation(plan, FrontRates).play()
-        assert play.excess < 0.1 * play.allowed_in_window + SLACK
+        play = QuotaEmulation(plan, FrontRates).run()
+        assert play.excess_tokens < 0.1 * play.allowed_window_tokens + SLACK
 
     @pytest.mark.parametrize("forgets", [False, True])
     @pytest.mark.parametrize("gap", [0.2, 1.0, 4.0, 8.0, 12.0, 30.0])
     def test_owners_are_lost_under_a_customer_within_its_limit(
         self, gap: float, forgets: bool
     ) -> None:
-        plan = Plan(
+        plan = QuotaPlan(
             20,
             LARGEST,
             seconds=20.0 + 3 * (gap + 4.0),
-            usual=0.7,
-            hot=1.0,
+            usual_share=0.7,
+            hot_factor=1.0,
             owner_lost_at=10.0,
-            owner_seconds=gap,
+            ownerless_seconds=gap,
             owner_losses=3,
-            owner_forgets=forgets,
+            owner_starts_empty=forgets,
         )
         for seed in (1, 2):
-            play = QuotaEmulation(plan, FrontRates, seed).play()
-            assert play.refused_owned < 0.001
-            assert play.excess < 0.1 * play.allowed_in_window + SLACK
+            play = QuotaEmulation(plan, FrontRates, seed).run()
+            assert play.refused_share_with_owner < 0.001
+            assert play.excess_tokens < 0.1 * play.allowed_window_tokens + SLACK
 
     @pytest.mark.parametrize("seed", [1, 2, 3])
     def test_a_limit_is_lowered_under_load(self, seed: int) -> None:
-        plan = Plan(74, LARGEST, hot_until=28.0, lowered_at=13.0)
-        play = QuotaEmulation(plan, FrontRates, seed).play()
-        assert play.excess < 0.1 * play.allowed_in_window + SLACK
+        plan = QuotaPlan(74, LARGEST, hot_until=28.0, lowered_at=13.0)
+        play = QuotaEmulation(plan, FrontRates, seed).run()
+        assert play.excess_tokens < 0.1 * play.allowed_window_tokens + SLACK
--- a/testing/standin/experiment/test_plan.py
+++ b/testing/standin/experiment/test_plan.py
@@ -1,27 +1,27 @@
-"""Tests of what an experiment's file may say."""
+"""Tests of reading plans and of overriding constants."""
 
 from pathlib import Path
 
 import pytest
 
 from ridgesill.core.fleet import copies
-from ridgesill.standin.experiment.constants import with_constants
+from ridgesill.standin.experiment.constants import override_constants
 from ridgesill.standin.experiment.plan import PlanError, read_plan
 
-GIVEN = Path(__file__).parents[3] / "bench/experiments/long-prompts.toml"
+PLAN_PATH = Path(__file__).parents[3] / "bench/experiments/long-prompts.toml"
 SCENARIO = '[[scenario]]\nname = "x"\n'
 
 
 def write(folder: Path, text: str) -> str:
-    """Returns the path of a file with a text."""
+    """Writes a plan with a text and returns its path."""
     path = folder / "plan.toml"
     path.write_text(text)
     return str(path)
 
 
 class TestReadPlan:
-    def test_the_one_that_comes_with_the_project(self) -> None:
-        plan = read_plan(str(GIVEN))
+    def test_the_bundled_plan_is_valid(self) -> None:
+        plan = read_plan(str(PLAN_PATH))
         assert [s.name for s in plan.scenarios] == ["calm", "load", "losses"]
         assert plan.scenarios[1].kinds[0].shared[1].variants == 24
         assert len(plan.variants) > 1
@@ -48,7 +48,7 @@
             ),
         ],
     )
-    def test_what_is_wrong_is_named_with_its_line(
+    def test_errors_name_the_line_and_the_wrong_name(
         self, tmp_path: Path, text: str, line: int, said: str
     ) -> None:
         with pytest.raises(PlanError) as caught:
@@ -58,8 +58,8 @@
 
 
 class TestConstants:
-    def test_they_hold_for_a_while_only(self) -> None:
+    def test_overrides_end_with_the_block(self) -> None:
         before = copies._SHARE
-        with with_constants({"core.fleet.copies._SHARE": 2.0}):
+        with override_constants({"core.fleet.copies._SHARE": 2.0}):
             assert copies._SHARE == 2.0
         assert before == copies._SHARE
--- a/testing/standin/test_engine.py
+++ b/testing/standin/test_engine.py
@@ -1,4 +1,4 @@
-"""Tests of the engine model, on a paused clock."""
+"""Tests of the simulated engine, on a controlled clock."""
 
 import asyncio
 import random
@@ -18,14 +18,14 @@
 
 
 def make(**fields: object) -> Engine:
-    """Returns an engine that runs."""
+    """Returns an engine whose steps run in a background task."""
     engine = Engine(EngineModel(**fields), random.Random(1))  # type: ignore[arg-type]
     engine.task = asyncio.ensure_future(engine.run())  # type: ignore[attr-defined]
     return engine
 
 
 async def generate(engine: Engine, name: str, tokens: int) -> float:
-    """Returns the seconds that a request for adapter `a@1` takes."""
+    """Runs a request for adapter `a@1` and returns its duration in seconds."""
     loop = asyncio.get_running_loop()
     ended = loop.create_future()
     began = loop.time()
@@ -37,8 +37,8 @@
 
 
 class TestOrders:
-    async def test_a_load_takes_its_time(self) -> None:
-        engine = make(load=0.4)
+    async def test_a_load_takes_load_seconds(self) -> None:
+        engine = make(load_seconds=0.4)
         began = asyncio.get_running_loop().time()
         await engine.load("a@1", 1)
         assert asyncio.get_running_loop().time() - began == pytest.approx(0.4)
@@ -51,13 +51,15 @@
             await engine.load("b@1", 1)
 
     async def test_a_fenced_engine_refuses_an_old_epoch(self) -> None:
-        engine = make(fenced=True)
+        engine = make(checks_epochs=True)
         engine.fence(5)
         with pytest.raises(FencedError):
             await engine.load("a@1", 4)
 
-    async def test_another_engine_ignores_epochs(self) -> None:
-        engine = make(fenced=False)
+    async def test_an_engine_that_does_not_check_epochs_ignores_them(
+        self,
+    ) -> None:
+        engine = make(checks_epochs=False)
         engine.fence(5)
         await engine.load("a@1", 4)
         assert engine.resident == {"a@1"}
@@ -70,8 +72,8 @@
             await generate(engine, "q", 1)
         assert engine.active == {}
 
-    async def test_a_batch_costs_less_than_its_parts(self) -> None:
-        engine = make(prefill=0.0)
+    async def test_requests_in_a_batch_share_step_time(self) -> None:
+        engine = make(prefill_seconds=0.0)
         await engine.load("a@1", 1)
         alone = await generate(engine, "q", 50)
         began = asyncio.get_running_loop().time()
--- a/testing/standin/test_replay.py
+++ b/testing/standin/test_replay.py
@@ -1,4 +1,4 @@
-"""Tests of replaying a trace against running nodes."""
+"""Tests of replaying a trace against a running deployment."""
 
 from pathlib import Path
 
@@ -27,7 +27,7 @@
         assert "requests=4 completed=3 refused=1 cut=0 lost=0" in answer
         assert "unexpected=0" in answer
 
-    def test_another_outcome_fails_the_replay(
+    def test_an_unexpected_outcome_fails_the_replay(
         self, serving: Deployment, tmp_path: Path
     ) -> None:
         trace = [TracedRequest(0.0, "one", adapter="a23")]
--- a/testing/standin/test_traces.py
+++ b/testing/standin/test_traces.py
@@ -1,4 +1,4 @@
-"""Tests of traces and their makers."""
+"""Tests of traces: generation, files and offline misses."""
 
 from pathlib import Path
 
@@ -33,7 +33,9 @@
         write_trace(trace, tmp_path / "trace")
         assert read_trace(tmp_path / "trace") == trace
 
-    def test_a_bad_line_is_named(self, tmp_path: Path) -> None:
+    def test_an_invalid_line_is_named_in_the_error(
+        self, tmp_path: Path
+    ) -> None:
         path = tmp_path / "trace"
         write_trace(make_trace(_SMALL, 1)[:2], path)
         path.write_bytes(path.read_bytes() + b"{}\n")
@@ -42,7 +44,7 @@
 
 
 class TestCountOfflineMisses:
-    def test_what_is_needed_last_leaves(self) -> None:
+    def test_the_adapter_with_the_farthest_next_use_is_evicted(self) -> None:
         names = ["a", "b", "c", "a", "b"]
         trace = [TracedRequest(0.0, "", adapter=name) for name in names]
         assert count_offline_misses(trace, 2) == 3
--- a/testing/world.py
+++ b/testing/world.py
@@ -226,7 +226,7 @@
             place.capacity,
             tuple(sorted(engine.resident)),
             engine.active,
-            engine.unloading,
+            engine.is_draining,
             sequence,
         )
 
