--- a/testing/standin/experiment/test_runs.py
+++ b/testing/standin/experiment/test_runs.py
@@ -56,7 +56,7 @@
 
 
 class TestLoads:
-    """Each decision is compared with a run in which a constant disables it."""
+    """Compares runs with and without a decision; a constant disables it."""
 
     def test_short_prompts_beside_long_ones_are_in_time(self) -> None:
         # Without a higher rank for short prompts, they wait behind prompts
