--- a/src/ridgesill/app/cli.py
+++ b/src/ridgesill/app/cli.py
@@ -256,19 +256,19 @@
             nodes: IP:PORT of callers' listeners, separated by commas.
             speed: factor by which to replay faster than recorded.
         """
-        from ridgesill.standin.replay import Player
+        from ridgesill.standin.replay import TraceReplayer
         from ridgesill.standin.traces import read_trace
 
         try:
             requests = read_trace(Path(trace))
         except (OSError, ValueError) as error:
             raise CommandError(f"{trace}: {error}") from error
-        totals = Player(_split_addresses(nodes)).play(requests, speed)
+        totals = TraceReplayer(_split_addresses(nodes)).replay(requests, speed)
         for line in totals.unexpected[:20]:
             print(line)
         if totals.unexpected:
-            raise CommandError(totals.line())
-        return totals.line()
+            raise CommandError(totals.summary())
+        return totals.summary()
 
     def load(
         self,
@@ -289,17 +289,17 @@
             seed: seed of the random generator; equal seeds give equal loads.
             trace: path to write the load to as a trace, instead of sending it.
         """
-        from ridgesill.standin.replay import Player
+        from ridgesill.standin.replay import TraceReplayer
         from ridgesill.standin.traces import Workload, make_trace, write_trace
 
         workload = Workload(
-            seconds, rate, adapters, popular=min(50, adapters // 2)
+            seconds, rate, adapters, popular_adapters=min(50, adapters // 2)
         )
         requests = [r for r in make_trace(workload, seed) if r.adapter]
         if trace:
             write_trace(requests, Path(trace))
             return f"{trace}: {len(requests)} requests"
-        return Player(_split_addresses(nodes)).play(requests).line()
+        return TraceReplayer(_split_addresses(nodes)).replay(requests).summary()
 
     def experiment(self, plan: str, out: str, jobs: int = 0) -> str:
         """Simulates days of traffic with variants of the decision rules.
