--- a/bench/storage.py
+++ b/bench/storage.py
@@ -31,7 +31,7 @@
         os.fdatasync(number)
         time.sleep(delay)
 
-    FileLog(folder).found("a.0", make_initial_snapshot(("a.0",), b""))
+    FileLog(folder).initialize("a.0", make_initial_snapshot(("a.0",), b""))
     log = FileLog(folder, sync=sync)
     log.load()
     return lambda entries: log.append(None, entries)
--- a/src/ridgesill/adapters/admin_http.py
+++ b/src/ridgesill/adapters/admin_http.py
@@ -7,18 +7,18 @@
 import msgspec
 
 from ridgesill.adapters.http_server import (
-    Answer,
     BodyError,
+    HttpResponse,
     StartResponse,
-    json_answer,
+    json_response,
     read_body,
-    send_answer,
+    send_response,
 )
 from ridgesill.core.declaration import Declaration, Mistake, find_mistakes
 from ridgesill.ports.administration import Administration, Applied
 
-_BODY_MOST = 64 * 2**20
-_OPERATION_MOST = 100
+_MAX_BODY_BYTES = 64 * 2**20
+_MAX_OPERATION_ID_CHARS = 100
 _DECODER = msgspec.json.Decoder(Declaration)
 
 
@@ -40,70 +40,72 @@
         self._token = f"Bearer {token}".encode()
         self._administration = administration
         self._render_metrics = render_metrics
-        self._routes: dict[tuple[str, str], Callable[..., Answer]] = {
-            ("POST", "/v1/configuration"): self._apply,
-            ("GET", "/v1/configuration"): self._show,
-            ("GET", "/v1/status"): self._status,
+        self._routes: dict[tuple[str, str], Callable[..., HttpResponse]] = {
+            ("POST", "/v1/configuration"): self._apply_configuration,
+            ("GET", "/v1/configuration"): self._show_configuration,
+            ("GET", "/v1/status"): self._show_status,
             ("POST", "/v1/drain"): self._drain,
-            ("GET", "/metrics"): self._metrics,
+            ("GET", "/metrics"): self._show_metrics,
         }
 
     def __call__(
         self, environ: dict[str, Any], start_response: StartResponse
     ) -> Iterable[bytes]:
         """Serves one request."""
-        return send_answer(self._answer(environ), start_response)
+        return send_response(self._dispatch(environ), start_response)
 
-    def _answer(self, environ: dict[str, Any]) -> Answer:
+    def _dispatch(self, environ: dict[str, Any]) -> HttpResponse:
         given = environ.get("HTTP_AUTHORIZATION", "").encode("latin-1")
         if not hmac.compare_digest(given, self._token):
-            return Answer(401)
+            return HttpResponse(401)
         route = (environ["REQUEST_METHOD"], environ["PATH_INFO"])
         handler = self._routes.get(route)
         if handler is None:
             known = ", ".join(" ".join(r) for r in self._routes)
-            return _error(404, f"no such path; known are {known}")
+            return _error_response(404, f"no such path; known are {known}")
         return handler(environ)
 
-    def _apply(self, environ: dict[str, Any]) -> Answer:
+    def _apply_configuration(self, environ: dict[str, Any]) -> HttpResponse:
         operation = environ.get("HTTP_X_OPERATION_ID", "")
-        if not 0 < len(operation) <= _OPERATION_MOST:
-            return _error(400, "X-Operation-Id must name this attempt")
+        if not 0 < len(operation) <= _MAX_OPERATION_ID_CHARS:
+            return _error_response(400, "X-Operation-Id must name this attempt")
         try:
-            declared = _DECODER.decode(read_body(environ, _BODY_MOST))
+            declared = _DECODER.decode(read_body(environ, _MAX_BODY_BYTES))
         except (BodyError, msgspec.MsgspecError) as error:
-            return _error(400, f"no declaration: {error}")
+            return _error_response(400, f"no declaration: {error}")
         mistakes = find_mistakes(declared)
         if mistakes:
-            return _error(422, "; ".join(map(_line, mistakes)))
+            return _error_response(422, "; ".join(map(_describe, mistakes)))
         applied = self._administration.apply(operation, declared)
-        return json_answer(_status_of(applied), _as_json(applied))
+        return json_response(_http_status(applied), _to_builtins(applied))
 
-    def _show(self, environ: dict[str, Any]) -> Answer:
-        return json_answer(200, _as_json(self._administration.show()))
+    def _show_configuration(self, environ: dict[str, Any]) -> HttpResponse:
+        return json_response(200, _to_builtins(self._administration.show()))
 
-    def _status(self, environ: dict[str, Any]) -> Answer:
-        return json_answer(200, _as_json(self._administration.status()))
+    def _show_status(self, environ: dict[str, Any]) -> HttpResponse:
+        return json_response(200, _to_builtins(self._administration.status()))
 
-    def _drain(self, environ: dict[str, Any]) -> Answer:
+    def _drain(self, environ: dict[str, Any]) -> HttpResponse:
         self._administration.drain()
-        return json_answer(200, {"draining": True})
+        return json_response(200, {"draining": True})
 
-    def _metrics(self, environ: dict[str, Any]) -> Answer:
-        return Answer(200, self._render_metrics(), "text/plain; version=0.0.4")
+    def _show_metrics(self, environ: dict[str, Any]) -> HttpResponse:
+        return HttpResponse(
+            200, self._render_metrics(), "text/plain; version=0.0.4"
+        )
 
 
-def _status_of(applied: Applied) -> int:
+def _http_status(applied: Applied) -> int:
     return {"accepted": 200, "conflict": 409}.get(applied.verdict, 503)
 
 
-def _as_json(value: Any) -> Any:
+def _to_builtins(value: Any) -> Any:
     return msgspec.to_builtins(value)
 
 
-def _line(mistake: Mistake) -> str:
+def _describe(mistake: Mistake) -> str:
     return f"[{mistake.section}] {mistake.key}: {mistake.expected}"
 
 
-def _error(status: int, detail: str) -> Answer:
-    return json_answer(status, {"error": detail})
+def _error_response(status: int, detail: str) -> HttpResponse:
+    return json_response(status, {"error": detail})
--- a/src/ridgesill/adapters/caller_http.py
+++ b/src/ridgesill/adapters/caller_http.py
@@ -12,12 +12,12 @@
 from result import Err, Ok, Result
 
 from ridgesill.adapters.http_server import (
-    Answer,
     BodyError,
+    HttpResponse,
     StartResponse,
-    json_answer,
+    json_response,
     read_body,
-    send_answer,
+    send_response,
     status_line,
 )
 from ridgesill.core import calls
@@ -27,12 +27,12 @@
 from ridgesill.ports.runner import RunnerRequest
 from ridgesill.ports.serving import CallerRequest, CutError, Reply, Serving
 
-_COMPLETIONS = ("/v1/chat/completions", "/v1/completions")
-_SERVICES = "/services/"
+_COMPLETION_PATHS = ("/v1/chat/completions", "/v1/completions")
+_SERVICES_PREFIX = "/services/"
 _SAFE_METHODS = ("GET", "HEAD", "OPTIONS")
-_KEY_MOST = 200
+_MAX_KEY_CHARS = 200
 
-_STATUS = {
+_STATUS_BY_REASON = {
     calls.UNKNOWN_ADAPTER: 404,
     calls.UNKNOWN_VERSION: 404,
     calls.UNKNOWN_SERVICE: 404,
@@ -44,10 +44,10 @@
     pool_messages.SHED: 429,
     "runner-failed": 502,
 }
-_OTHER_STATUS = 503
+_DEFAULT_STATUS = 503
 
 # Headers of one connection (RFC 9110, 7.6.1), or set anew for the next one.
-_NOT_PASSED = frozenset(
+_DROPPED_HEADERS = frozenset(
     {
         "connection",
         "keep-alive",
@@ -79,7 +79,7 @@
 
 
 @attrs.frozen
-class Bad:
+class InvalidRequest:
     """A request that can't be understood."""
 
     status: int
@@ -93,12 +93,12 @@
         self,
         serving: Serving,
         limits: CallerLimits,
-        state: Callable[[], State],
+        get_state: Callable[[], State],
         is_ready: Callable[[], bool],
     ) -> None:
         self._serving = serving
         self._limits = limits
-        self._state = state
+        self._get_state = get_state
         self._is_ready = is_ready
         self._lock = threading.Lock()
         self._in_progress = 0
@@ -113,106 +113,113 @@
     ) -> Iterable[bytes]:
         """Serves one request."""
         path = environ["PATH_INFO"]
-        plain = self._answer_plainly(environ["REQUEST_METHOD"], path)
-        if plain is not None:
-            return send_answer(plain, start_response)
-        if not self._enter():
+        direct = self._respond_directly(environ["REQUEST_METHOD"], path)
+        if direct is not None:
+            return send_response(direct, start_response)
+        if not self._acquire_slot():
             refusal = Refusal(calls.TOO_MANY, "too many streams here", 1.0)
-            return send_answer(_refuse(refusal), start_response)
+            return send_response(_refusal_response(refusal), start_response)
         try:
             body = self._serve(environ, start_response)
         except BaseException:
-            self._leave()
+            self._release_slot()
             raise
-        return _Leaving(body, self._leave)
+        return _SlotReleasingBody(body, self._release_slot)
 
-    def _answer_plainly(self, method: str, path: str) -> Answer | None:
+    def _respond_directly(self, method: str, path: str) -> HttpResponse | None:
         if path == "/livez":
-            return Answer(200, b"ok\n", "text/plain")
+            return HttpResponse(200, b"ok\n", "text/plain")
         if path == "/readyz":
             ready = self._is_ready()
             text = b"ready\n" if ready else b"not ready\n"
-            return Answer(200 if ready else 503, text, "text/plain")
+            return HttpResponse(200 if ready else 503, text, "text/plain")
         if path == "/v1/models" and method == "GET":
             return self._list_models()
-        if path in _COMPLETIONS and method != "POST":
-            return _bad(Bad(405, f"{path} takes POST"))
-        if path in _COMPLETIONS or path.startswith(_SERVICES):
+        if path in _COMPLETION_PATHS and method != "POST":
+            return _invalid_response(InvalidRequest(405, f"{path} takes POST"))
+        if path in _COMPLETION_PATHS or path.startswith(_SERVICES_PREFIX):
             return None
-        detail = f"no such path; try {_COMPLETIONS[0]} or {_SERVICES}NAME/"
-        return _bad(Bad(404, detail))
+        detail = (
+            f"no such path; try {_COMPLETION_PATHS[0]} or "
+            f"{_SERVICES_PREFIX}NAME/"
+        )
+        return _invalid_response(InvalidRequest(404, detail))
 
-    def _list_models(self) -> Answer:
-        table = self._state().table
+    def _list_models(self) -> HttpResponse:
+        table = self._get_state().table
         models = [
             {"id": name, "object": "model", "owned_by": adapter.team}
             for name, adapter in table.adapters.items()
         ]
-        return json_answer(200, {"object": "list", "data": models})
+        return json_response(200, {"object": "list", "data": models})
 
-    def _enter(self) -> bool:
+    def _acquire_slot(self) -> bool:
         with self._lock:
             if self._in_progress >= self._limits.streams:
                 return False
             self._in_progress += 1
             return True
 
-    def _leave(self) -> None:
+    def _release_slot(self) -> None:
         with self._lock:
             self._in_progress -= 1
 
     def _serve(
         self, environ: dict[str, Any], start_response: StartResponse
     ) -> Iterable[bytes]:
-        read = self._read(environ)
-        if isinstance(read, Err):
-            return send_answer(_bad(read.err_value), start_response)
-        request = read.ok_value
+        parsed = self._parse_request(environ)
+        if isinstance(parsed, Err):
+            return send_response(
+                _invalid_response(parsed.err_value), start_response
+            )
+        request = parsed.ok_value
         reply = self._serving.serve(request)
         headers = _reply_headers(request.call, reply)
         if reply.refusal is not None:
-            answer = _refuse(reply.refusal, reply.outcome, headers)
-            return send_answer(answer, start_response)
+            response = _refusal_response(reply.refusal, reply.outcome, headers)
+            return send_response(response, start_response)
         if isinstance(reply.body, bytes):
-            answer = Answer(
+            response = HttpResponse(
                 reply.status, reply.body, reply.content_type, headers
             )
-            return send_answer(answer, start_response)
+            return send_response(response, start_response)
         start_response(
             status_line(reply.status),
             [("Content-Type", reply.content_type), *headers],
         )
-        return _ending_with_error(reply.body)
+        return _append_error_event(reply.body)
 
     # -- reading a request ---------------------------------------------
 
-    def _read(self, environ: dict[str, Any]) -> Result[CallerRequest, Bad]:
+    def _parse_request(
+        self, environ: dict[str, Any]
+    ) -> Result[CallerRequest, InvalidRequest]:
         try:
             body = read_body(environ, self._limits.body_bytes)
         except BodyError as error:
             too_large = "larger" in str(error)
-            return Err(Bad(413 if too_large else 400, str(error)))
-        options = _read_options(environ, self._limits.patience)
+            return Err(InvalidRequest(413 if too_large else 400, str(error)))
+        options = _parse_options(environ, self._limits.patience)
         if isinstance(options, Err):
             return options
-        if environ["PATH_INFO"] in _COMPLETIONS:
-            return self._read_completion(environ, body, options.ok_value)
-        return self._read_service(environ, body, options.ok_value)
+        if environ["PATH_INFO"] in _COMPLETION_PATHS:
+            return self._parse_completion(environ, body, options.ok_value)
+        return self._parse_service_call(environ, body, options.ok_value)
 
-    def _read_completion(
+    def _parse_completion(
         self, environ: dict[str, Any], body: bytes, options: "_Options"
-    ) -> Result[CallerRequest, Bad]:
+    ) -> Result[CallerRequest, InvalidRequest]:
         try:
             document = msgspec.json.decode(body)
         except msgspec.DecodeError:
-            return Err(Bad(400, "the body is no JSON"))
+            return Err(InvalidRequest(400, "the body is no JSON"))
         if not isinstance(document, dict):
-            return Err(Bad(400, "the body must be a JSON object"))
+            return Err(InvalidRequest(400, "the body must be a JSON object"))
         model = document.get("model")
         if not isinstance(model, str) or not model:
-            return Err(Bad(400, "'model' must name an adapter"))
+            return Err(InvalidRequest(400, "'model' must name an adapter"))
         if not isinstance(document.get("stream", False), bool):
-            return Err(Bad(400, "'stream' must be true or false"))
+            return Err(InvalidRequest(400, "'stream' must be true or false"))
         call = Call(
             options.request,
             model=model,
@@ -234,15 +241,15 @@
             )
         )
 
-    def _read_service(
+    def _parse_service_call(
         self, environ: dict[str, Any], body: bytes, options: "_Options"
-    ) -> Result[CallerRequest, Bad]:
-        rest = environ["PATH_INFO"][len(_SERVICES) :]
+    ) -> Result[CallerRequest, InvalidRequest]:
+        rest = environ["PATH_INFO"][len(_SERVICES_PREFIX) :]
         name, _, path = rest.partition("/")
         query = environ.get("QUERY_STRING", "")
         method = environ["REQUEST_METHOD"]
         target = f"/{path}?{query}" if query else f"/{path}"
-        service = self._state().table.services.get(name)
+        service = self._get_state().table.services.get(name)
         safe = method in _SAFE_METHODS
         allowed = service is not None and service.repeatable
         call = Call(
@@ -277,24 +284,32 @@
     headers: dict[str, str]
 
 
-def _read_options(
+def _parse_options(
     environ: dict[str, Any], patience: float
-) -> Result[_Options, Bad]:
+) -> Result[_Options, InvalidRequest]:
     key = environ.get("HTTP_IDEMPOTENCY_KEY", "")
-    if len(key) > _KEY_MOST:
-        return Err(Bad(400, f"Idempotency-Key is over {_KEY_MOST} characters"))
+    if len(key) > _MAX_KEY_CHARS:
+        return Err(
+            InvalidRequest(
+                400, f"Idempotency-Key is over {_MAX_KEY_CHARS} characters"
+            )
+        )
     priority = environ.get("HTTP_X_RIDGESILL_PRIORITY", "1")
     if priority not in ("0", "1", "2", "3"):
-        return Err(Bad(400, "X-Ridgesill-Priority must be 0, 1, 2 or 3"))
+        return Err(
+            InvalidRequest(400, "X-Ridgesill-Priority must be 0, 1, 2 or 3")
+        )
     seconds = environ.get("HTTP_X_RIDGESILL_TIMEOUT", str(patience))
     try:
         timeout = float(seconds)
     except ValueError:
         timeout = math.nan
     if not 0 < timeout <= 600:
-        return Err(Bad(400, "X-Ridgesill-Timeout must be seconds, 0 to 600"))
+        return Err(
+            InvalidRequest(400, "X-Ridgesill-Timeout must be seconds, 0 to 600")
+        )
     request = secrets.token_hex(8)
-    headers = _passed_headers(environ)
+    headers = _forwarded_headers(environ)
     headers["X-Request-Id"] = request
     headers["X-Priority"] = priority
     return Ok(
@@ -310,22 +325,22 @@
     )
 
 
-def _passed_headers(environ: dict[str, Any]) -> dict[str, str]:
+def _forwarded_headers(environ: dict[str, Any]) -> dict[str, str]:
     """Returns a caller's headers as they go on to the runner."""
     headers = {}
     for field, value in environ.items():
         if field.startswith("HTTP_"):
             name = field[5:].replace("_", "-").title()
-            if _is_passed(name):
+            if _is_forwarded(name):
                 headers[name] = value
     if environ.get("CONTENT_TYPE"):
         headers["Content-Type"] = environ["CONTENT_TYPE"]
     return headers
 
 
-def _is_passed(name: str) -> bool:
+def _is_forwarded(name: str) -> bool:
     lower = name.lower()
-    return lower not in _NOT_PASSED and not lower.startswith(_OWN_PREFIX)
+    return lower not in _DROPPED_HEADERS and not lower.startswith(_OWN_PREFIX)
 
 
 def _digest(method: str, path: str, body: bytes) -> str:
@@ -338,7 +353,7 @@
 
 
 def _reply_headers(call: Call, reply: Reply) -> tuple[tuple[str, str], ...]:
-    headers = [(n, v) for n, v in reply.headers if _is_passed(n)]
+    headers = [(n, v) for n, v in reply.headers if _is_forwarded(n)]
     headers.append(("X-Ridgesill-Request", call.request))
     if reply.refusal is None:
         headers.append(("X-Ridgesill-Outcome", reply.outcome))
@@ -351,33 +366,37 @@
     return tuple(headers)
 
 
-def _refuse(
+def _refusal_response(
     refusal: Refusal,
     outcome: str = calls.NOT_RUN,
     headers: tuple[tuple[str, str], ...] = (),
-) -> Answer:
-    status = _STATUS.get(refusal.reason, _OTHER_STATUS)
-    answer = _error(status, refusal.reason, refusal.detail, outcome)
+) -> HttpResponse:
+    status = _STATUS_BY_REASON.get(refusal.reason, _DEFAULT_STATUS)
+    response = _error_response(status, refusal.reason, refusal.detail, outcome)
     extra = list(headers)
     if refusal.retry_after:
         seconds = str(math.ceil(refusal.retry_after))
         extra.append(("Retry-After", seconds))
-    return attrs.evolve(answer, headers=(*answer.headers, *extra))
+    return attrs.evolve(response, headers=(*response.headers, *extra))
 
 
-def _bad(bad: Bad) -> Answer:
-    return _error(bad.status, "invalid-request", bad.detail, calls.NOT_RUN)
+def _invalid_response(invalid: InvalidRequest) -> HttpResponse:
+    return _error_response(
+        invalid.status, "invalid-request", invalid.detail, calls.NOT_RUN
+    )
 
 
-def _error(status: int, code: str, detail: str, outcome: str) -> Answer:
+def _error_response(
+    status: int, code: str, detail: str, outcome: str
+) -> HttpResponse:
     kind = "invalid_request_error" if status < 500 else "server_error"
     error = {"message": detail, "type": kind, "param": None, "code": code}
-    answer = json_answer(status, {"error": error, "outcome": outcome})
+    response = json_response(status, {"error": error, "outcome": outcome})
     headers = (("X-Ridgesill-Outcome", outcome),)
-    return attrs.evolve(answer, headers=headers)
+    return attrs.evolve(response, headers=headers)
 
 
-def _ending_with_error(body: Iterator[bytes]) -> Iterator[bytes]:
+def _append_error_event(body: Iterator[bytes]) -> Iterator[bytes]:
     """Passes a stream on; one that is cut ends in an error event."""
     try:
         yield from body
@@ -392,15 +411,15 @@
         raise
 
 
-class _Leaving:
+class _SlotReleasingBody:
     """A response body that counts its request out when it is closed."""
 
     def __init__(
-        self, body: Iterable[bytes], leave: Callable[[], None]
+        self, body: Iterable[bytes], release_slot: Callable[[], None]
     ) -> None:
         self._body = body
-        self._leave = leave
-        self._left = False
+        self._release_slot = release_slot
+        self._released = False
 
     def __iter__(self) -> Iterator[bytes]:
         return iter(self._body)
@@ -410,6 +429,6 @@
         close = getattr(self._body, "close", None)
         if close is not None:
             close()
-        if not self._left:
-            self._left = True
-            self._leave()
+        if not self._released:
+            self._released = True
+            self._release_slot()
--- a/src/ridgesill/adapters/configuration_ini.py
+++ b/src/ridgesill/adapters/configuration_ini.py
@@ -22,7 +22,7 @@
 )
 from ridgesill.core.declaration import Declaration, find_mistakes
 
-_KINDS = ("data-centre", "team", "service", "adapter")
+_SECTION_KINDS = ("data-centre", "team", "service", "adapter")
 
 
 def read_configuration(path: str) -> Declaration:
@@ -39,15 +39,19 @@
     if not reader.parser.has_section("configuration"):
         reader.report("configuration", "version", "the section is missing")
         reader.finish()
-    named = _sections_by_kind(reader)
+    names_by_kind = _sections_by_kind(reader)
     declared = Declaration(
         reader.value("configuration", "version", to_integer(1, 2**53)),
         _digest(reader),
         reader.value("configuration", "based_on", to_integer(0, 2**53), -1),
-        tuple(_data_centre(reader, n) for n in named["data-centre"]),
-        tuple(_team(reader, n) for n in named["team"]),
-        tuple(_service(reader, n) for n in named["service"]),
-        group_adapters((n, _adapter(reader, n)) for n in named["adapter"]),
+        tuple(
+            _read_data_centre(reader, n) for n in names_by_kind["data-centre"]
+        ),
+        tuple(_read_team(reader, n) for n in names_by_kind["team"]),
+        tuple(_read_service(reader, n) for n in names_by_kind["service"]),
+        group_adapters(
+            (n, _read_adapter(reader, n)) for n in names_by_kind["adapter"]
+        ),
     )
     reader.check_keys("configuration", {"version", "based_on"})
     _report_mistakes(reader, declared)
@@ -56,9 +60,11 @@
 
 
 def _report_mistakes(reader: IniReader, declared: Declaration) -> None:
-    known = {(problem.section, problem.key) for problem in reader.problems}
+    reported_keys = {
+        (problem.section, problem.key) for problem in reader.problems
+    }
     for mistake in find_mistakes(declared):
-        if (mistake.section, mistake.key) not in known:
+        if (mistake.section, mistake.key) not in reported_keys:
             reader.report(mistake.section, mistake.key, mistake.expected)
 
 
@@ -73,29 +79,29 @@
 
 
 def _sections_by_kind(reader: IniReader) -> dict[str, list[str]]:
-    named: dict[str, list[str]] = {kind: [] for kind in _KINDS}
+    names_by_kind: dict[str, list[str]] = {kind: [] for kind in _SECTION_KINDS}
     for section in reader.sections():
         kind, _, name = section.partition(" ")
         if section == "configuration":
             continue
-        if kind not in named or not name:
-            kinds = ", ".join(f"[{k} NAME]" for k in _KINDS)
+        if kind not in names_by_kind or not name:
+            kinds = ", ".join(f"[{k} NAME]" for k in _SECTION_KINDS)
             reader.report(section, "", f"expected [configuration] or {kinds}")
             continue
         try:
-            named[kind].append(to_name(name))
+            names_by_kind[kind].append(to_name(name))
         except ValueError as error:
             reader.report(section, "", str(error))
-    return named
+    return names_by_kind
 
 
-def _data_centre(reader: IniReader, name: str) -> DataCentre:
+def _read_data_centre(reader: IniReader, name: str) -> DataCentre:
     section = f"data-centre {name}"
     reader.check_keys(section, {"region"})
     return DataCentre(name, reader.value(section, "region", to_name))
 
 
-def _team(reader: IniReader, name: str) -> Team:
+def _read_team(reader: IniReader, name: str) -> Team:
     section = f"team {name}"
     reader.check_keys(section, {"weight", "places"})
     return Team(
@@ -105,7 +111,7 @@
     )
 
 
-def _service(reader: IniReader, name: str) -> Service:
+def _read_service(reader: IniReader, name: str) -> Service:
     section = f"service {name}"
     default = Service(name)
     reader.check_keys(
@@ -141,7 +147,7 @@
     )
 
 
-def _adapter(reader: IniReader, name: str) -> Adapter:
+def _read_adapter(reader: IniReader, name: str) -> Adapter:
     section = f"adapter {name}"
     reader.check_keys(section, {"team", "service", "versions", "places"})
     return Adapter(
--- a/src/ridgesill/adapters/file_log.py
+++ b/src/ridgesill/adapters/file_log.py
@@ -65,10 +65,10 @@
         self._folder = folder
         self._sync = sync
         self._file: io.FileIO | None = None
-        self._length = 0
+        self._size_bytes = 0
         self.identity = self._read_identity()
 
-    def found(self, identity: str, snapshot: Snapshot) -> None:
+    def initialize(self, identity: str, snapshot: Snapshot) -> None:
         """Makes an empty folder the start of a new log.
 
         Raises:
@@ -78,15 +78,15 @@
             raise StorageError(
                 self._folder / _IDENTITY, 0, "a log was founded here before"
             )
-        self._write_file(_SNAPSHOT, _frame(codec.encode(snapshot)))
+        self._write_file(_SNAPSHOT, _encode_record(codec.encode(snapshot)))
         self._write_file(_LOG, b"")
         self._write_file(_IDENTITY, identity.encode())
         self.identity = identity
 
-    def join(self, name: str) -> None:
+    def initialize_with_new_identity(self, name: str) -> None:
         """Gives an empty folder a fresh identity, to be made a voter of."""
         identity = f"{name}.{secrets.token_hex(4)}"
-        self.found(identity, Snapshot(0, 0, Voters(()), b""))
+        self.initialize(identity, Snapshot(0, 0, Voters(()), b""))
 
     def load(self) -> StoredLog:
         """Returns what the files hold and opens the log for appending."""
@@ -99,33 +99,35 @@
             else:
                 append_truncating(entries, record.value)
         self._open_log()
-        kept = tuple(e for e in entries if e.index > snapshot.index)
-        return StoredLog(hard_state, kept, snapshot)
+        uncovered = tuple(e for e in entries if e.index > snapshot.index)
+        return StoredLog(hard_state, uncovered, snapshot)
 
     def append(
         self, hard_state: HardState | None, entries: list[Entry]
     ) -> None:
         """Adds records and syncs them."""
-        frames = [_frame(codec.encode(entry)) for entry in entries]
+        encoded_records = [
+            _encode_record(codec.encode(entry)) for entry in entries
+        ]
         if hard_state is not None:
-            frames.insert(0, _frame(codec.encode(hard_state)))
-        if not frames or self._file is None:
+            encoded_records.insert(0, _encode_record(codec.encode(hard_state)))
+        if not encoded_records or self._file is None:
             return
-        data = b"".join(frames)
+        data = b"".join(encoded_records)
         try:
             self._write_all(data)
             self._sync(self._file.fileno())
         except OSError:
             # What was written of it must not stand before the next try.
-            os.ftruncate(self._file.fileno(), self._length)
+            os.ftruncate(self._file.fileno(), self._size_bytes)
             raise
-        self._length += len(data)
+        self._size_bytes += len(data)
 
     def _write_all(self, data: bytes) -> None:
         assert self._file is not None
-        rest = memoryview(data)
-        while rest:
-            rest = rest[self._file.write(rest) :]
+        unwritten = memoryview(data)
+        while unwritten:
+            unwritten = unwritten[self._file.write(unwritten) :]
 
     def replace(
         self,
@@ -138,10 +140,12 @@
         A kill between the two leaves an old log beside a new snapshot, which
         `load` reads rightly: what the snapshot covers is passed over.
         """
-        self._write_file(_SNAPSHOT, _frame(codec.encode(snapshot)))
-        frames = [_frame(codec.encode(hard_state))]
-        frames += [_frame(codec.encode(entry)) for entry in entries]
-        self._write_file(_LOG, b"".join(frames))
+        self._write_file(_SNAPSHOT, _encode_record(codec.encode(snapshot)))
+        encoded_records = [_encode_record(codec.encode(hard_state))]
+        encoded_records += [
+            _encode_record(codec.encode(entry)) for entry in entries
+        ]
+        self._write_file(_LOG, b"".join(encoded_records))
         if self._file is not None:
             self._file.close()
         self._open_log()
@@ -149,7 +153,7 @@
     def _open_log(self) -> None:
         # Unbuffered, so that a failed write leaves nothing behind here.
         self._file = (self._folder / _LOG).open("ab", buffering=0)
-        self._length = (self._folder / _LOG).stat().st_size
+        self._size_bytes = (self._folder / _LOG).stat().st_size
 
     def close(self) -> None:
         """Closes the log."""
@@ -173,7 +177,7 @@
         path = self._folder / _LOG
         data = path.read_bytes()
         records = _read_records(path, data)
-        end = _end_of(data)
+        end = _find_end(data)
         if end < len(data):
             with path.open("r+b") as file:
                 file.truncate(end)
@@ -199,7 +203,7 @@
     return os.open(path, flags, 0o600)
 
 
-def _frame(body: bytes) -> bytes:
+def _encode_record(body: bytes) -> bytes:
     start = struct.pack("<II", len(body), zlib.crc32(body))
     return start + struct.pack("<I", zlib.crc32(start)) + body
 
@@ -207,7 +211,7 @@
 def _read_records(path: Path, data: bytes) -> list[_Record]:
     records = []
     offset = 0
-    end = _end_of(data, path)
+    end = _find_end(data, path)
     while offset < end:
         length, _, _ = _HEADER.unpack_from(data, offset)
         start = offset + _HEADER.size
@@ -224,20 +228,20 @@
         raise StorageError(path, offset, str(error)) from error
 
 
-def _end_of(data: bytes, path: Path = Path()) -> int:
+def _find_end(data: bytes, path: Path = Path()) -> int:
     """Returns where the whole records end; checks them on the way."""
     offset = 0
     while offset + _HEADER.size <= len(data):
-        length, checksum, own = _HEADER.unpack_from(data, offset)
-        if zlib.crc32(data[offset : offset + 8]) != own:
+        length, checksum, header_checksum = _HEADER.unpack_from(data, offset)
+        if zlib.crc32(data[offset : offset + 8]) != header_checksum:
             if not any(data[offset:]):
                 # Space that a crash left allocated but never written.
                 return offset
             raise StorageError(path, offset, "a record's header is corrupt")
-        stop = offset + _HEADER.size + length
-        if stop > len(data):
+        body_end = offset + _HEADER.size + length
+        if body_end > len(data):
             return offset
-        if zlib.crc32(data[offset + _HEADER.size : stop]) != checksum:
+        if zlib.crc32(data[offset + _HEADER.size : body_end]) != checksum:
             raise StorageError(path, offset, "a record's body is corrupt")
-        offset = stop
+        offset = body_end
     return offset
--- a/src/ridgesill/adapters/http1/channel.py
+++ b/src/ridgesill/adapters/http1/channel.py
@@ -9,8 +9,8 @@
 # Taken off what an upstream's Keep-Alive promises, for the way there.
 _KEEP_ALIVE_MARGIN_SECONDS = 0.5
 # How long a channel rests when its upstream says nothing, in seconds.
-_REST_SECONDS = 4.0
-REQUEST_ID = b"request-id"
+_DEFAULT_IDLE_SECONDS = 4.0
+REQUEST_ID_HEADER = b"request-id"
 
 
 class ChannelBrokenError(Exception):
@@ -31,16 +31,16 @@
     def __init__(self, address: str) -> None:
         self.address = address
         self.requests = 0
-        self.rested_at = 0.0
-        self.rest_seconds = _REST_SECONDS
+        self.idle_since = 0.0
+        self.idle_timeout_seconds = _DEFAULT_IDLE_SECONDS
         self._loop = asyncio.get_running_loop()
         self._transport: asyncio.Transport | None = None
-        self._http = _new_http()
+        self._parser = _new_http()
         self._waiter: asyncio.Future[None] | None = None
-        self._lost: str = ""
+        self._close_reason: str = ""
         self._request_id = b""
         self._busy = False
-        self._skipping = False
+        self._skipped_response = False
 
     # -- the transport's calls -----------------------------------------
 
@@ -55,29 +55,33 @@
             self.close("bytes came that belong to no request")
             return
         try:
-            self._http.receive_data(data)
+            self._parser.receive_data(data)
         except h11.RemoteProtocolError as error:
             self.close(str(error))
         self._wake()
 
     def eof_received(self) -> bool:
         """Notes the end of what the upstream sends."""
-        if not self._lost:
+        if not self._close_reason:
             try:
-                self._http.receive_data(b"")
+                self._parser.receive_data(b"")
             except h11.RemoteProtocolError as error:
                 self.close(str(error))
-        self._lost = self._lost or "the upstream closed the channel"
+        self._close_reason = (
+            self._close_reason or "the upstream closed the channel"
+        )
         self._wake()
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Notes that the channel is gone."""
-        if exc is not None and not self._lost:
+        if exc is not None and not self._close_reason:
             # The parser isn't told of an end, so that what a reset cut off
             # can't pass for a whole answer; what came before it still counts.
-            self._lost = f"reset: {exc}"
-        self._lost = self._lost or "the upstream closed the channel"
+            self._close_reason = f"reset: {exc}"
+        self._close_reason = (
+            self._close_reason or "the upstream closed the channel"
+        )
         self._wake()
 
     def _wake(self) -> None:
@@ -91,7 +95,7 @@
         """Whether a request can be sent."""
         transport = self._transport
         return (
-            not self._lost
+            not self._close_reason
             and transport is not None
             and not transport.is_closing()
         )
@@ -107,10 +111,10 @@
             target=request.target,
             headers=list(request.headers),
         )
-        data = self._http.send(head) or b""
+        data = self._parser.send(head) or b""
         if request.body:
-            data += self._http.send(h11.Data(data=request.body)) or b""
-        data += self._http.send(h11.EndOfMessage()) or b""
+            data += self._parser.send(h11.Data(data=request.body)) or b""
+        data += self._parser.send(h11.EndOfMessage()) or b""
         self._transport.write(data)
 
     async def read_head(self) -> ResponseHead:
@@ -125,32 +129,38 @@
                 head = ResponseHead(
                     event.status_code, tuple(event.headers), event.reason
                 )
-                if not self._is_surplus(head):
+                if not self._is_for_other_request(head):
                     return head
-                await self._skip_surplus()
+                await self._skip_response()
 
-    def _is_surplus(self, head: ResponseHead) -> bool:
+    def _is_for_other_request(self, head: ResponseHead) -> bool:
         """Whether an answer names another request than this one.
 
         An upstream may send a second answer to the request before; it then
         stands where this one's is due.
         """
-        named = find_header(head.headers, REQUEST_ID).encode()
-        return bool(self._request_id and named and named != self._request_id)
+        response_request_id = find_header(
+            head.headers, REQUEST_ID_HEADER
+        ).encode()
+        return bool(
+            self._request_id
+            and response_request_id
+            and response_request_id != self._request_id
+        )
 
-    async def _skip_surplus(self) -> None:
+    async def _skip_response(self) -> None:
         while not isinstance(await self._next_event(), h11.EndOfMessage):
             pass
-        rest, _ = self._http.trailing_data
+        remaining, _ = self._parser.trailing_data
         # A fresh parser, as if the request had been sent on it: the answer
         # that follows on the same channel is the one that is due.
-        self._http = _new_http()
+        self._parser = _new_http()
         host = [("host", "skipped")]
-        self._http.send(h11.Request(method="GET", target="/", headers=host))
-        self._http.send(h11.EndOfMessage())
-        self._skipping = True
-        if rest:
-            self._http.receive_data(rest)
+        self._parser.send(h11.Request(method="GET", target="/", headers=host))
+        self._parser.send(h11.EndOfMessage())
+        self._skipped_response = True
+        if remaining:
+            self._parser.receive_data(remaining)
 
     async def read_data(self) -> bytes:
         """Returns the next part of the body; empty at its end.
@@ -168,17 +178,17 @@
     async def _next_event(self) -> h11.Event:
         while True:
             try:
-                event = self._http.next_event()
+                event = self._parser.next_event()
             except h11.RemoteProtocolError as error:
-                reason = self._lost or str(error)
+                reason = self._close_reason or str(error)
                 self.close(reason)
                 raise ChannelBrokenError(reason) from error
             if isinstance(event, h11.ConnectionClosed):
-                raise ChannelBrokenError(self._lost or "closed")
+                raise ChannelBrokenError(self._close_reason or "closed")
             if event is not h11.NEED_DATA and event is not h11.PAUSED:
                 return event  # type: ignore[return-value]
-            if self._lost:
-                raise ChannelBrokenError(self._lost)
+            if self._close_reason:
+                raise ChannelBrokenError(self._close_reason)
             self._waiter = self._loop.create_future()
             await self._waiter
 
@@ -188,7 +198,7 @@
         Returns:
             Whether it can be kept.
         """
-        http = self._http
+        http = self._parser
         transport = self._transport
         reusable = (
             self.is_open
@@ -199,28 +209,28 @@
             and http.our_state is h11.DONE
             and http.their_state is h11.DONE
             and not http.trailing_data[0]
-            and not self._skipping
+            and not self._skipped_response
         )
         if not reusable:
             self.close("not to be kept")
             return False
         http.start_next_cycle()
         self._busy = False
-        self.rested_at = self._loop.time()
-        self.rest_seconds = _rest_seconds(head)
+        self.idle_since = self._loop.time()
+        self.idle_timeout_seconds = _parse_idle_timeout(head)
         return True
 
     def close(self, reason: str) -> None:
         """Closes the channel at once, which makes the upstream stop."""
-        self._lost = self._lost or reason
+        self._close_reason = self._close_reason or reason
         if self._transport is not None:
             self._transport.abort()
 
 
-def _rest_seconds(head: ResponseHead) -> float:
+def _parse_idle_timeout(head: ResponseHead) -> float:
     """Returns for how long an upstream lets a channel rest."""
-    for part in find_header(head.headers, b"keep-alive").split(","):
-        name, _, value = part.strip().partition("=")
+    for field in find_header(head.headers, b"keep-alive").split(","):
+        name, _, value = field.strip().partition("=")
         if name.lower() == "timeout" and value.isdigit():
             return max(float(value) - _KEEP_ALIVE_MARGIN_SECONDS, 0.0)
-    return _REST_SECONDS
+    return _DEFAULT_IDLE_SECONDS
--- a/src/ridgesill/adapters/http1/client.py
+++ b/src/ridgesill/adapters/http1/client.py
@@ -5,7 +5,7 @@
 import socket
 
 from ridgesill.adapters.http1.channel import (
-    REQUEST_ID,
+    REQUEST_ID_HEADER,
     ChannelBrokenError,
     UpstreamChannel,
 )
@@ -24,7 +24,7 @@
 # one may go silent for good, without a reset, while its answer is awaited. The
 # next probe without an acknowledgement in time gives it up, 2 s after the last
 # byte; clients give a stream up after two seconds of silence at the least.
-_PROBE_AFTER_SECONDS = 1
+_PROBE_INTERVAL_SECONDS = 1
 
 
 class Exchange:
@@ -43,7 +43,7 @@
         try:
             self.head = await self._channel.read_head()
         except ChannelBrokenError as error:
-            raise self._error("head", error) from error
+            raise self._to_channel_error("head", error) from error
         return self.head
 
     async def read_data(self) -> bytes:
@@ -51,7 +51,7 @@
         try:
             data = await self._channel.read_data()
         except ChannelBrokenError as error:
-            raise self._error("body", error) from error
+            raise self._to_channel_error("body", error) from error
         if not data:
             self._finish()
         return data
@@ -63,7 +63,7 @@
             parts.append(data)
         return b"".join(parts)
 
-    def _error(self, step: str, error: Exception) -> ChannelError:
+    def _to_channel_error(self, step: str, error: Exception) -> ChannelError:
         self.cancel()
         return ChannelError(step, self._channel.address, str(error), True)
 
@@ -71,7 +71,7 @@
         assert self.head is not None
         if not self._ended:
             self._ended = True
-            self._channels.give_back(self._channel, self.head)
+            self._channels.release(self._channel, self.head)
 
     def cancel(self) -> None:
         """Closes the channel unless the answer was read whole."""
@@ -89,8 +89,8 @@
 
     def __init__(self, connect_seconds: float) -> None:
         self._connect_seconds = connect_seconds
-        self._resting: dict[str, list[UpstreamChannel]] = {}
-        self._opened: dict[str, set[UpstreamChannel]] = {}
+        self._idle: dict[str, list[UpstreamChannel]] = {}
+        self._open_channels: dict[str, set[UpstreamChannel]] = {}
         self._opening: collections.Counter[str] = collections.Counter()
         self._loop = asyncio.get_running_loop()
 
@@ -99,102 +99,113 @@
         address: str,
         request: HttpRequest,
         *,
-        fresh_within: float = 60.0,
-        most: int = 0,
+        max_idle_seconds: float = 60.0,
+        max_open: int = 0,
     ) -> Exchange:
         """Sends a request.
 
         Args:
             address: the upstream's.
             request: the request, whole.
-            fresh_within: seconds that a kept channel may have rested.
-            most: channels that may be open to this upstream; 0 for no bound.
+            max_idle_seconds: how long a kept channel may have been idle.
+            max_open: limit on open channels to this upstream; 0 for none.
 
         Raises:
             ChannelError: no channel came up; nothing was sent.
         """
-        channel = await self.take(address, fresh_within=fresh_within, most=most)
-        return self.begin(channel, request)
+        channel = await self.acquire(
+            address, max_idle_seconds=max_idle_seconds, max_open=max_open
+        )
+        return self.start_exchange(channel, request)
 
-    async def take(
-        self, address: str, *, fresh_within: float = 60.0, most: int = 0
+    async def acquire(
+        self, address: str, *, max_idle_seconds: float = 60.0, max_open: int = 0
     ) -> UpstreamChannel:
         """Returns a channel on which a request can begin.
 
         Args:
             address: the upstream's.
-            fresh_within: seconds that a kept channel may have rested.
-            most: channels that may be open to this upstream; 0 for no bound.
+            max_idle_seconds: how long a kept channel may have been idle.
+            max_open: limit on open channels to this upstream; 0 for none.
 
         Raises:
             ChannelError: no channel came up; nothing was sent.
         """
-        channel = self._take_resting(address, fresh_within)
+        channel = self._acquire_idle(address, max_idle_seconds)
         if channel is None:
-            self._make_room(address, most)
+            self._enforce_limit(address, max_open)
             channel = await self._open(address)
         return channel
 
-    def put_back(self, channel: UpstreamChannel) -> None:
+    def release_unused(self, channel: UpstreamChannel) -> None:
         """Keeps a channel that was taken and on which nothing was sent."""
-        channel.rested_at = self._loop.time()
-        self._resting.setdefault(channel.address, []).append(channel)
+        channel.idle_since = self._loop.time()
+        self._idle.setdefault(channel.address, []).append(channel)
 
-    def begin(self, channel: UpstreamChannel, request: HttpRequest) -> Exchange:
+    def start_exchange(
+        self, channel: UpstreamChannel, request: HttpRequest
+    ) -> Exchange:
         """Sends a request on a channel that was taken."""
-        request_id = find_header(request.headers, REQUEST_ID).encode()
+        request_id = find_header(request.headers, REQUEST_ID_HEADER).encode()
         channel.send(request, request_id)
         return Exchange(self, channel)
 
-    def _take_resting(
-        self, address: str, fresh_within: float
+    def _acquire_idle(
+        self, address: str, max_idle_seconds: float
     ) -> UpstreamChannel | None:
-        resting = self._resting.get(address, [])
+        idle = self._idle.get(address, [])
         now = self._loop.time()
-        while resting:
-            channel = resting.pop()
-            rested = now - channel.rested_at
-            if channel.is_open and rested < channel.rest_seconds:
-                if rested < fresh_within:
+        while idle:
+            channel = idle.pop()
+            idle_seconds = now - channel.idle_since
+            if channel.is_open and idle_seconds < channel.idle_timeout_seconds:
+                if idle_seconds < max_idle_seconds:
                     return channel
-                resting.append(channel)
+                idle.append(channel)
                 return None
             self.discard(channel)
         return None
 
-    def _make_room(self, address: str, most: int) -> None:
+    def _enforce_limit(self, address: str, max_open: int) -> None:
         """Keeps within the share of an upstream's channels.
 
         An upstream resets what goes beyond its limit over all callers, and
         then nobody knows whether the request has run.
         """
-        opened = self._opened.setdefault(address, set())
-        opened.difference_update([c for c in opened if not c.is_open])
-        if not most or len(opened) + self._opening[address] < most:
+        open_channels = self._open_channels.setdefault(address, set())
+        open_channels.difference_update(
+            [c for c in open_channels if not c.is_open]
+        )
+        if (
+            not max_open
+            or len(open_channels) + self._opening[address] < max_open
+        ):
             return
-        resting = self._resting.get(address)
-        if not resting:
-            detail = f"all {most} channels of this process's share are in use"
+        idle = self._idle.get(address)
+        if not idle:
+            detail = (
+                f"all {max_open} channels of this process's share are in use"
+            )
             raise ChannelError("connect", address, detail, False)
-        self.discard(resting.pop(0))
+        self.discard(idle.pop(0))
 
     async def _open(self, address: str) -> UpstreamChannel:
         host, port = split_address(address)
-        connecting = self._loop.create_connection(
+        attempt = self._loop.create_connection(
             lambda: UpstreamChannel(address), host, port
         )
         self._opening[address] += 1
         try:
             transport, channel = await asyncio.wait_for(
-                connecting, self._connect_seconds
+                attempt, self._connect_seconds
             )
         except (OSError, TimeoutError) as error:
             detail = str(error) or "no channel came up in time"
             raise ChannelError("connect", address, detail, False) from error
         finally:
             self._opening[address] -= 1
-        _detect_silence(transport)
-        self._opened.setdefault(address, set()).add(channel)
+        _enable_keepalive_probes(transport)
+        self._open_channels.setdefault(address, set()).add(channel)
         return channel
 
     async def is_refused(self, address: str) -> bool:
@@ -203,10 +214,10 @@
         One that is full or cut off takes it, or says nothing.
         """
         host, port = split_address(address)
-        opening = self._loop.create_connection(asyncio.Protocol, host, port)
+        attempt = self._loop.create_connection(asyncio.Protocol, host, port)
         try:
             transport, _ = await asyncio.wait_for(
-                opening, self._connect_seconds
+                attempt, self._connect_seconds
             )
         except ConnectionRefusedError:
             return True
@@ -215,46 +226,51 @@
         transport.abort()
         return False
 
-    def give_back(self, channel: UpstreamChannel, head: ResponseHead) -> None:
+    def release(self, channel: UpstreamChannel, head: ResponseHead) -> None:
         """Keeps a channel whose answer was read whole, if it can be."""
         if channel.finish(head):
-            self._resting.setdefault(channel.address, []).append(channel)
+            self._idle.setdefault(channel.address, []).append(channel)
 
     def discard(self, channel: UpstreamChannel) -> None:
         """Closes a channel that is in use or was taken from those at rest."""
         channel.close("given up")
 
-    def sweep(self) -> None:
+    def prune(self) -> None:
         """Closes channels that have rested for too long."""
         now = self._loop.time()
-        for address, resting in list(self._resting.items()):
-            for channel in list(resting):
-                rested = now - channel.rested_at
-                if not channel.is_open or rested >= channel.rest_seconds:
-                    resting.remove(channel)
+        for address, idle in list(self._idle.items()):
+            for channel in list(idle):
+                idle_seconds = now - channel.idle_since
+                if (
+                    not channel.is_open
+                    or idle_seconds >= channel.idle_timeout_seconds
+                ):
+                    idle.remove(channel)
                     self.discard(channel)
-            if not resting:
-                del self._resting[address]
-        for address, opened in list(self._opened.items()):
-            if not any(channel.is_open for channel in opened):
-                del self._opened[address]
+            if not idle:
+                del self._idle[address]
+        for address, open_channels in list(self._open_channels.items()):
+            if not any(channel.is_open for channel in open_channels):
+                del self._open_channels[address]
         self._opening = +self._opening
 
     def close(self) -> None:
         """Closes all channels at rest."""
-        for resting in self._resting.values():
-            while resting:
-                self.discard(resting.pop())
+        for idle in self._idle.values():
+            while idle:
+                self.discard(idle.pop())
 
 
-def _detect_silence(transport: asyncio.BaseTransport) -> None:
+def _enable_keepalive_probes(transport: asyncio.BaseTransport) -> None:
     """Has the kernel end a channel whose other side says nothing."""
-    opened = transport.get_extra_info("socket")
-    if opened is None:
+    tcp_socket = transport.get_extra_info("socket")
+    if tcp_socket is None:
         return
-    opened.setsockopt(
+    tcp_socket.setsockopt(
         socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _USER_TIMEOUT_MS
     )
-    opened.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
+    tcp_socket.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     for option in (socket.TCP_KEEPIDLE, socket.TCP_KEEPINTVL):
-        opened.setsockopt(socket.IPPROTO_TCP, option, _PROBE_AFTER_SECONDS)
+        tcp_socket.setsockopt(
+            socket.IPPROTO_TCP, option, _PROBE_INTERVAL_SECONDS
+        )
--- a/src/ridgesill/adapters/http1/server.py
+++ b/src/ridgesill/adapters/http1/server.py
@@ -19,9 +19,9 @@
 
 # Bytes of an answer that may wait for a slow client before the task does.
 _WRITE_BUFFER_BYTES = 256 * 1024
-_BACKLOG = 1024
+_BACKLOG_CONNECTIONS = 1024
 # How often idle and slow channels are looked for, in seconds.
-_SWEEP_SECONDS = 0.5
+_TIMEOUT_CHECK_SECONDS = 0.5
 
 
 class _BodyTooLargeError(Exception):
@@ -50,9 +50,9 @@
         self._body_bytes = 0
         self._task: asyncio.Task[None] | None = None
         self._writable: asyncio.Future[None] | None = None
-        self._since = self._loop.time()
+        self._quiet_since = self._loop.time()
         self._receiving = False
-        self._lost = False
+        self._is_closed = False
 
     # -- the transport's calls -----------------------------------------
 
@@ -67,7 +67,7 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Ends the request in progress: its client is gone."""
-        self._lost = True
+        self._is_closed = True
         self._listener.connections.discard(self)
         self._wake_writer()
         if self._task is not None:
@@ -93,37 +93,37 @@
     def data_received(self, data: bytes) -> None:
         """Takes bytes of a request."""
         if not self._receiving and self._task is None:
-            self._since = self._loop.time()
+            self._quiet_since = self._loop.time()
             self._receiving = True
-        self._advance(data)
+        self._process(data)
 
-    def _advance(self, data: bytes = b"") -> None:
+    def _process(self, data: bytes = b"") -> None:
         """Takes what has come, or rejects it."""
         try:
             if data:
                 self._http.receive_data(data)
-            self._take_events()
+            self._process_events()
         except h11.RemoteProtocolError as error:
             self._reject(error.error_status_hint, str(error))
         except _BodyTooLargeError:
             self._reject(413, "the body is over the limit")
 
-    def _take_events(self) -> None:
-        while self._task is None and not self._lost:
+    def _process_events(self) -> None:
+        while self._task is None and not self._is_closed:
             event = self._http.next_event()
             if event is h11.NEED_DATA:
-                self._answer_expectation()
+                self._send_continue()
                 return
             if event is h11.PAUSED or isinstance(event, h11.ConnectionClosed):
                 return
-            self._take_event(event)
+            self._process_event(event)
 
-    def _answer_expectation(self) -> None:
+    def _send_continue(self) -> None:
         if self._http.they_are_waiting_for_100_continue:
-            go_on = h11.InformationalResponse(status_code=100, headers=[])
-            self._write(self._http.send(go_on))
+            interim = h11.InformationalResponse(status_code=100, headers=[])
+            self._write(self._http.send(interim))
 
-    def _take_event(self, event: Any) -> None:
+    def _process_event(self, event: Any) -> None:
         if isinstance(event, h11.Request):
             self._head = event
             self._head_at = self._loop.time()
@@ -135,11 +135,11 @@
                 raise _BodyTooLargeError
             self._body.append(bytes(event.data))
         elif isinstance(event, h11.EndOfMessage):
-            self._begin()
+            self._start_request()
 
     # -- serving -------------------------------------------------------
 
-    def _begin(self) -> None:
+    def _start_request(self) -> None:
         head = self._head
         assert head is not None
         self._head = None
@@ -160,20 +160,20 @@
         try:
             await self._listener.handler(request, responder)
         except asyncio.CancelledError:
-            if not self._lost:
+            if not self._is_closed:
                 self._close()
             raise
         except Exception:  # noqa: BLE001 - one request's fault ends only it
             write_traceback()
-            self._fail(responder)
+            self._send_failure(responder)
         finally:
             self._task = None
-            self._since = self._loop.time()
-        if not self._lost:
-            self._go_on()
+            self._quiet_since = self._loop.time()
+        if not self._is_closed:
+            self._start_next_cycle()
 
-    def _fail(self, responder: Responder) -> None:
-        if self._lost:
+    def _send_failure(self, responder: Responder) -> None:
+        if self._is_closed:
             return
         if responder.started:
             responder.abort()
@@ -181,18 +181,18 @@
         responder.send_head(502, ((b"content-length", b"0"),))
         responder.finish()
 
-    def _go_on(self) -> None:
+    def _start_next_cycle(self) -> None:
         http = self._http
         reusable = http.our_state is h11.DONE and http.their_state is h11.DONE
-        if not reusable or self._is_to_end():
+        if not reusable or self._must_close():
             self._close()
             return
         http.start_next_cycle()
         if http.trailing_data[0]:
             self._receiving = True
-        self._advance()
+        self._process()
 
-    def _is_to_end(self) -> bool:
+    def _must_close(self) -> bool:
         """Whether the channel ends although its last answer didn't say so.
 
         That answer began before the listener drained, and its client would go
@@ -200,7 +200,7 @@
         already is still answered: to close over it would reset the channel
         and take the last answer's end away.
         """
-        return self.closing and not self._http.trailing_data[0]
+        return self.draining and not self._http.trailing_data[0]
 
     def _reject(self, status: int, detail: str) -> None:
         log_message(
@@ -221,13 +221,13 @@
     # -- what the responder uses ---------------------------------------
 
     @property
-    def closing(self) -> bool:
+    def draining(self) -> bool:
         """Whether answers should ask the client to close the channel."""
-        return self._listener.closing
+        return self._listener.draining
 
     def send(self, event: h11.Event) -> None:
         """Writes an event of the answer; nothing to a client that left."""
-        if not self._lost:
+        if not self._is_closed:
             self._write(self._http.send(event))
 
     async def drain(self) -> None:
@@ -250,16 +250,16 @@
 
     # -- time ----------------------------------------------------------
 
-    def sweep(self, now: float) -> None:
+    def check_timeouts(self, now: float) -> None:
         """Ends a channel whose client keeps quiet for too long."""
         if self._task is not None:
             return
         limits = self._listener.limits
-        quiet = now - self._since
+        quiet_seconds = now - self._quiet_since
         if self._receiving and self._head is None:
-            if quiet > limits.header_seconds:
+            if quiet_seconds > limits.header_seconds:
                 self._reject(408, "the head did not arrive in time")
-        elif quiet > limits.idle_seconds:
+        elif quiet_seconds > limits.idle_seconds:
             self._close()
 
     def close_if_idle(self) -> None:
@@ -282,11 +282,13 @@
         self, status: int, headers: Headers, reason: bytes = b""
     ) -> None:
         self.started = True
-        sent = list(headers)
-        if self._connection.closing:
-            sent.append((b"connection", b"close"))
+        sent_headers = list(headers)
+        if self._connection.draining:
+            sent_headers.append((b"connection", b"close"))
         self._connection.send(
-            h11.Response(status_code=status, headers=sent, reason=reason)
+            h11.Response(
+                status_code=status, headers=sent_headers, reason=reason
+            )
         )
 
     def send_data(self, data: bytes) -> None:
@@ -320,10 +322,10 @@
         self.handler = handler
         self.limits = limits or ClientLimits()
         self.connections: set[ServerConnection] = set()
-        self.closing = False
+        self.draining = False
         self._address = address
         self._server: asyncio.Server | None = None
-        self._sweeper: asyncio.Task[None] | None = None
+        self._timeout_task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
         """Begins to accept."""
@@ -333,18 +335,18 @@
             lambda: ServerConnection(self),
             host,
             port,
-            backlog=_BACKLOG,
+            backlog=_BACKLOG_CONNECTIONS,
             reuse_address=True,
         )
-        self._sweeper = loop.create_task(self._sweep())
+        self._timeout_task = loop.create_task(self._check_timeouts())
 
-    async def _sweep(self) -> None:
+    async def _check_timeouts(self) -> None:
         loop = asyncio.get_running_loop()
         while True:
-            await asyncio.sleep(_SWEEP_SECONDS)
+            await asyncio.sleep(_TIMEOUT_CHECK_SECONDS)
             now = loop.time()
             for connection in list(self.connections):
-                connection.sweep(now)
+                connection.check_timeouts(now)
 
     def close(self) -> None:
         """Accepts no new channels; those that are open go on."""
@@ -353,13 +355,13 @@
 
     def drain(self) -> None:
         """Asks clients to close their channels after their next answer."""
-        self.closing = True
+        self.draining = True
 
     async def stop(self) -> None:
         """Accepts no more and closes every channel."""
         if self._server is not None:
             self._server.close()
-        if self._sweeper is not None:
-            self._sweeper.cancel()
+        if self._timeout_task is not None:
+            self._timeout_task.cancel()
         for connection in list(self.connections):
             connection.abort()
--- a/src/ridgesill/adapters/http_server.py
+++ b/src/ridgesill/adapters/http_server.py
@@ -32,7 +32,7 @@
     threads: int
     header_bytes: int
     body_bytes: int
-    seconds: float
+    timeout_seconds: float
 
 
 class HttpServer:
@@ -43,17 +43,17 @@
     ) -> None:
         self._server = wsgi.Server(
             split_address(address),
-            _guard(app),
+            _catch_errors(app),
             numthreads=limits.threads,
             max=limits.threads,
             request_queue_size=_BACKLOG,
-            timeout=math.ceil(limits.seconds),
+            timeout=math.ceil(limits.timeout_seconds),
             shutdown_timeout=1,
         )
         self._server.max_request_header_size = limits.header_bytes
         self._server.max_request_body_size = limits.body_bytes
         self._server.keep_alive_conn_limit = _BACKLOG
-        self._server.error_log = _ignore  # type: ignore[method-assign]
+        self._server.error_log = _discard_message  # type: ignore[method-assign]
         self._thread = threading.Thread(target=self._server.serve, daemon=True)
 
     def start(self) -> None:
@@ -66,7 +66,7 @@
         self._server.stop()
 
 
-def _guard(app: WsgiApp) -> WsgiApp:
+def _catch_errors(app: WsgiApp) -> WsgiApp:
     """Returns an application whose own faults are logged and answered."""
 
     def guarded(
@@ -77,19 +77,21 @@
         except Exception:  # noqa: BLE001 - the last place to report it
             write_traceback()
             error = {"message": "an internal fault", "type": "server_error"}
-            return send_answer(
-                json_answer(500, {"error": error}), start_response
+            return send_response(
+                json_response(500, {"error": error}), start_response
             )
 
     return guarded
 
 
-def _ignore(msg: str = "", level: int = 20, traceback: bool = False) -> None:
+def _discard_message(
+    msg: str = "", level: int = 20, traceback: bool = False
+) -> None:
     """Drops cheroot's own messages: they may quote what a caller sent."""
 
 
 @attrs.frozen
-class Answer:
+class HttpResponse:
     """A whole HTTP answer."""
 
     status: int
@@ -98,7 +100,7 @@
     headers: tuple[tuple[str, str], ...] = ()
 
 
-_PHRASES = {
+_REASON_PHRASES = {
     200: "OK",
     400: "Bad Request",
     401: "Unauthorized",
@@ -117,15 +119,17 @@
 
 def status_line(status: int) -> str:
     """Returns a status with its phrase."""
-    return f"{status} {_PHRASES.get(status, 'Status')}"
+    return f"{status} {_REASON_PHRASES.get(status, 'Status')}"
 
 
-def json_answer(status: int, value: Any) -> Answer:
+def json_response(status: int, value: Any) -> HttpResponse:
     """Returns an answer with a JSON body."""
-    return Answer(status, msgspec.json.encode(value))
+    return HttpResponse(status, msgspec.json.encode(value))
 
 
-def send_answer(answer: Answer, start_response: StartResponse) -> list[bytes]:
+def send_response(
+    answer: HttpResponse, start_response: StartResponse
+) -> list[bytes]:
     """Starts a WSGI response and returns its body."""
     headers = [
         ("Content-Type", answer.content_type),
--- a/src/ridgesill/adapters/logs.py
+++ b/src/ridgesill/adapters/logs.py
@@ -13,17 +13,17 @@
 # state are some ten a second on a bad day, ends of requests the rest.
 _LINES_PER_SECOND = 400.0
 # Lines that may come at once on top of that.
-_LINES_BURST = 2000.0
+_BURST_LINES = 2000.0
 # Lines that wait for a slow reader before they are dropped.
-_LINES_WAITING = 5000
-_FLUSH_SECONDS = 0.1
-_STDOUT = 1
+_MAX_QUEUED_LINES = 5000
+_FLUSH_INTERVAL_SECONDS = 0.1
+_STDOUT_DESCRIPTOR = 1
 # Bytes handed to the system at once: what a pipe takes as a whole (PIPE_BUF).
 # A reader that takes 8 KB of each write lost up to a third of an owner's lines
 # on a busy day.
 _CHUNK_BYTES = 4096
 # Fields of eliot's that say nothing on lines which stand by themselves.
-_LEFT_OUT = frozenset(("task_uuid", "task_level"))
+_OMITTED_FIELDS = frozenset(("task_uuid", "task_level"))
 
 
 def open_log(path: str) -> None:
@@ -43,15 +43,15 @@
         descriptor: to write to.
     """
 
-    def __init__(self, vm: str, descriptor: int = _STDOUT) -> None:
+    def __init__(self, vm: str, descriptor: int = _STDOUT_DESCRIPTOR) -> None:
         self._vm = vm
         self._descriptor = descriptor
-        self._lines: collections.deque[bytes] = collections.deque()
+        self._queue: collections.deque[bytes] = collections.deque()
         self._dropped = 0
-        self._tokens = _LINES_BURST
+        self._tokens = _BURST_LINES
         self._loop = asyncio.get_running_loop()
         self._refilled_at = self._loop.time()
-        self._rest = b""
+        self._unwritten = b""
         self._task = self._loop.create_task(self._run())
 
     def __call__(self, message: dict[str, Any]) -> None:
@@ -61,58 +61,58 @@
             return
         line = {"vm": self._vm}
         for name, value in message.items():
-            if name not in _LEFT_OUT:
+            if name not in _OMITTED_FIELDS:
                 line[name] = value
-        self._lines.append(msgspec.json.encode(line, enc_hook=str) + b"\n")
+        self._queue.append(msgspec.json.encode(line, enc_hook=str) + b"\n")
 
     def _may_write(self, message: dict[str, Any]) -> bool:
-        if len(self._lines) >= _LINES_WAITING:
+        if len(self._queue) >= _MAX_QUEUED_LINES:
             return False
         now = self._loop.time()
         gained = (now - self._refilled_at) * _LINES_PER_SECOND
-        self._tokens = min(self._tokens + gained, _LINES_BURST)
+        self._tokens = min(self._tokens + gained, _BURST_LINES)
         self._refilled_at = now
-        is_plain = message.get("outcome") == "served"
-        if self._tokens < (_LINES_BURST / 2 if is_plain else 1.0):
+        is_success = message.get("outcome") == "served"
+        if self._tokens < (_BURST_LINES / 2 if is_success else 1.0):
             return False
         self._tokens -= 1.0
         return True
 
     async def _run(self) -> None:
         while True:
-            await asyncio.sleep(_FLUSH_SECONDS)
+            await asyncio.sleep(_FLUSH_INTERVAL_SECONDS)
             self.flush()
 
     def flush(self) -> None:
         """Writes what the reader takes now."""
-        if self._dropped and len(self._lines) < _LINES_WAITING:
-            said = {"vm": self._vm, "message_type": "log:dropped"}
-            line = msgspec.json.encode({**said, "lines": self._dropped})
-            self._lines.append(line + b"\n")
+        if self._dropped and len(self._queue) < _MAX_QUEUED_LINES:
+            notice = {"vm": self._vm, "message_type": "log:dropped"}
+            line = msgspec.json.encode({**notice, "lines": self._dropped})
+            self._queue.append(line + b"\n")
             self._dropped = 0
-        while self._rest or self._lines:
-            if not self._rest:
-                self._rest = self._take_chunk()
+        while self._unwritten or self._queue:
+            if not self._unwritten:
+                self._unwritten = self._take_chunk()
             try:
-                written = os.write(self._descriptor, self._rest)
+                written = os.write(self._descriptor, self._unwritten)
             except BlockingIOError:
                 return
             except OSError:
                 # No reader is left; nobody could be told.
-                self._rest = b""
-                self._lines.clear()
+                self._unwritten = b""
+                self._queue.clear()
                 return
-            self._rest = self._rest[written:]
+            self._unwritten = self._unwritten[written:]
 
     def _take_chunk(self) -> bytes:
-        taken: list[bytes] = []
+        chunk: list[bytes] = []
         size = 0
-        while self._lines:
-            size += len(self._lines[0])
-            if taken and size > _CHUNK_BYTES:
+        while self._queue:
+            size += len(self._queue[0])
+            if chunk and size > _CHUNK_BYTES:
                 break
-            taken.append(self._lines.popleft())
-        return b"".join(taken)
+            chunk.append(self._queue.popleft())
+        return b"".join(chunk)
 
     def close(self) -> None:
         """Writes what is left and stops."""
@@ -122,7 +122,7 @@
 
 def open_bounded_log(vm: str) -> BoundedLog:
     """Sends log lines to standard output without ever waiting for it."""
-    os.set_blocking(_STDOUT, False)
+    os.set_blocking(_STDOUT_DESCRIPTOR, False)
     log = BoundedLog(vm)
     eliot.add_destinations(log)
     return log
--- a/src/ridgesill/adapters/metrics.py
+++ b/src/ridgesill/adapters/metrics.py
@@ -11,7 +11,7 @@
 )
 from prometheus_client import CollectorRegistry, generate_latest
 
-_SECONDS = (
+_DURATION_BUCKETS_SECONDS = (
     0.005,
     0.01,
     0.025,
@@ -27,7 +27,7 @@
     30,
     60,
 )
-_BATCHES = (1, 2, 4, 8, 12, 16, 24, 32, 64)
+_BATCH_SIZE_BUCKETS = (1, 2, 4, 8, 12, 16, 24, 32, 64)
 
 
 class MeterSet:
@@ -37,11 +37,15 @@
         views = [
             View(
                 instrument_name="ridgesill_*_seconds",
-                aggregation=ExplicitBucketHistogramAggregation(_SECONDS),
+                aggregation=ExplicitBucketHistogramAggregation(
+                    _DURATION_BUCKETS_SECONDS
+                ),
             ),
             View(
                 instrument_name="ridgesill_batch_size",
-                aggregation=ExplicitBucketHistogramAggregation(_BATCHES),
+                aggregation=ExplicitBucketHistogramAggregation(
+                    _BATCH_SIZE_BUCKETS
+                ),
             ),
         ]
         self._registry = CollectorRegistry()
@@ -53,7 +57,7 @@
         provider = MeterProvider(metric_readers=[reader], views=views)
         self._meter = provider.get_meter("ridgesill")
 
-    def watch(self, name: str, read: Callable[[], float]) -> None:
+    def add_gauge(self, name: str, read: Callable[[], float]) -> None:
         """Has a gauge read from a function whenever metrics are asked for."""
 
         def observe(_: CallbackOptions) -> Iterable[Observation]:
--- a/src/ridgesill/adapters/peer_rpc.py
+++ b/src/ridgesill/adapters/peer_rpc.py
@@ -22,23 +22,23 @@
 # A handler returns the reply to a call, or None to a message without one.
 Handler = Callable[[str, Any], Awaitable[Any]]
 
-_QUEUE = 1024
-_RECONNECT = 0.1
+_MAX_QUEUED_MESSAGES = 1024
+_RECONNECT_DELAY_SECONDS = 0.1
 # Within which a stream to a peer must come up, in seconds; a VM without power
 # says nothing, and the system alone would go on trying for minutes.
 _CONNECT_SECONDS = 0.6
 # How often a stream in use is looked at, and after how long without any answer
 # it is given up, in seconds. A stream that a cut has held up would else hang
 # until the system sends again, which it does less and less often.
-_CHECK_SECONDS = 0.4
-_SILENT_SECONDS = 0.7
+_PING_INTERVAL_SECONDS = 0.4
+_PING_TIMEOUT_SECONDS = 0.7
 # Bodies from this size on are compressed, in bytes: news to a front repeat the
 # names of fields and upstreams, and bytes between data centres are priced.
-_COMPRESS_FROM = 400
+_COMPRESS_MIN_BYTES = 400
 _COMPRESS_LEVEL = 1
 # How a compressed body begins; an encoded message is an array of two.
-_COMPRESSED = b"\x78"
-_STREAM_ERRORS = (
+_ZLIB_FIRST_BYTE = b"\x78"
+_CONNECTION_ERRORS = (
     OSError,
     GRPCError,
     StreamTerminatedError,
@@ -49,7 +49,7 @@
 def encode_body(message: Any) -> bytes:
     """Returns a message as the body of an envelope."""
     body = codec.encode(message)
-    if len(body) < _COMPRESS_FROM:
+    if len(body) < _COMPRESS_MIN_BYTES:
         return body
     return zlib.compress(body, _COMPRESS_LEVEL)
 
@@ -60,7 +60,7 @@
     Raises:
         codec.DecodeError: it holds none.
     """
-    if body.startswith(_COMPRESSED):
+    if body.startswith(_ZLIB_FIRST_BYTE):
         try:
             body = zlib.decompress(body)
         except zlib.error as error:
@@ -98,17 +98,17 @@
     kinds: dict[str, KindTraffic] = attrs.Factory(dict)
     is_far: Callable[[str], bool] = lambda _peer: False
 
-    def sent(self, envelope: Envelope) -> None:
+    def record_sent(self, envelope: Envelope) -> None:
         """Counts a message that goes out."""
         self.messages_sent += 1
         self.bytes_sent += envelope.ByteSize()
 
-    def received(self, envelope: Envelope) -> None:
+    def record_received(self, envelope: Envelope) -> None:
         """Counts a message that came in."""
         self.messages_received += 1
         self.bytes_received += envelope.ByteSize()
 
-    def note_kind(self, message: Any, envelope: Envelope, peer: str) -> None:
+    def record_kind(self, message: Any, envelope: Envelope, peer: str) -> None:
         """Counts a message by its kind."""
         name = type(message).__name__
         kind = self.kinds.get(name)
@@ -151,7 +151,7 @@
         tasks: set[asyncio.Task[None]] = set()
         try:
             async for envelope in stream:
-                self._traffic.received(envelope)
+                self._traffic.record_received(envelope)
                 task = asyncio.create_task(self._handle(stream, envelope))
                 tasks.add(task)
                 task.add_done_callback(tasks.discard)
@@ -168,7 +168,7 @@
             answer = await self._handler(envelope.sender, message)
             if answer is not None:
                 reply.body = encode_body(answer)
-                self._traffic.note_kind(answer, reply, envelope.sender)
+                self._traffic.record_kind(answer, reply, envelope.sender)
         except (codec.DecodeError, PeerError) as error:
             reply.error = str(error)
         if not envelope.call:
@@ -177,9 +177,9 @@
             # Only asks whether this stream works.
             reply.error = ""
         try:
-            self._traffic.sent(reply)
+            self._traffic.record_sent(reply)
             await stream.send_message(reply)
-        except _STREAM_ERRORS as error:
+        except _CONNECTION_ERRORS as error:
             log_message(
                 "peer:reply_lost", peer=envelope.sender, reason=str(error)
             )
@@ -220,7 +220,7 @@
         self._own_tasks: set[asyncio.Task[Any]] = set()
         self._context = context
         self._links: dict[str, _Link] = {}
-        self._numbers = itertools.count(1)
+        self._call_ids = itertools.count(1)
 
     def send(self, address: str, message: Any) -> None:
         """Sends a message; a full queue drops it."""
@@ -230,31 +230,31 @@
             task.add_done_callback(self._own_tasks.discard)
             return
         envelope = Envelope(sender=self._identity, body=encode_body(message))
-        self.traffic.note_kind(message, envelope, address)
-        self._post(address, envelope)
+        self.traffic.record_kind(message, envelope, address)
+        self._enqueue(address, envelope)
 
     async def call(self, address: str, message: Any, timeout: float) -> Any:
         """Returns the answer to a message, or raises `PeerError`."""
         step = type(message).__name__
         if self._handler and address == self._own_address:
             return await self._call_self(step, message, timeout)
-        number = next(self._numbers)
+        call_id = next(self._call_ids)
         envelope = Envelope(
-            call=number, sender=self._identity, body=encode_body(message)
+            call=call_id, sender=self._identity, body=encode_body(message)
         )
-        self.traffic.note_kind(message, envelope, address)
-        link = self._link(address)
+        self.traffic.record_kind(message, envelope, address)
+        link = self._get_link(address)
         future = asyncio.get_running_loop().create_future()
-        link.calls[number] = future
+        link.calls[call_id] = future
         try:
-            self._post(address, envelope)
+            self._enqueue(address, envelope)
             reply = await asyncio.wait_for(future, timeout)
         except TimeoutError as error:
             raise PeerError(step, address, "no answer in time") from error
         except ConnectionError as error:
             raise PeerError(step, address, str(error)) from error
         finally:
-            link.calls.pop(number, None)
+            link.calls.pop(call_id, None)
         if reply.error or not reply.body:
             raise PeerError(step, address, reply.error or "empty answer")
         return decode_body(reply.body)
@@ -282,31 +282,31 @@
         """
         self._links = {}
 
-    def _link(self, address: str) -> _Link:
+    def _get_link(self, address: str) -> _Link:
         link = self._links.get(address)
         if link is None:
-            link = _Link(address, asyncio.Queue(_QUEUE))
+            link = _Link(address, asyncio.Queue(_MAX_QUEUED_MESSAGES))
             link.task = asyncio.create_task(self._run(link))
             self._links[address] = link
         return link
 
-    def _post(self, address: str, envelope: Envelope) -> None:
+    def _enqueue(self, address: str, envelope: Envelope) -> None:
         try:
-            self._link(address).outbox.put_nowait(envelope)
+            self._get_link(address).outbox.put_nowait(envelope)
         except asyncio.QueueFull:
             log_message("peer:queue_full", peer=address)
 
     async def _run(self, link: _Link) -> None:
         while True:
             try:
-                await self._exchange(link)
-            except _STREAM_ERRORS as error:
-                self._fail(link, str(error) or "no answer of any kind in time")
+                await self._run_stream(link)
+            except _CONNECTION_ERRORS as error:
+                self._fail_calls(link, str(error) or "no reply in time")
             else:
-                self._fail(link, "stream ended")
-            await asyncio.sleep(_RECONNECT)
+                self._fail_calls(link, "stream ended")
+            await asyncio.sleep(_RECONNECT_DELAY_SECONDS)
 
-    async def _exchange(self, link: _Link) -> None:
+    async def _run_stream(self, link: _Link) -> None:
         first = await link.outbox.get()
         host, port = split_address(link.address)
         channel = Channel(host, port, ssl=self._context())
@@ -316,13 +316,15 @@
                     await self._send(link, stream, first)
                 reader = asyncio.create_task(self._read(link, stream))
                 writer = asyncio.create_task(self._write(link, stream))
-                checker = asyncio.create_task(self._check(link, stream))
-                await _first_of(reader, writer, checker)
+                checker = asyncio.create_task(
+                    self._check_liveness(link, stream)
+                )
+                await _wait_for_first(reader, writer, checker)
         finally:
             channel.close()
 
     async def _send(self, link: _Link, stream: Any, envelope: Envelope) -> None:
-        self.traffic.sent(envelope)
+        self.traffic.record_sent(envelope)
         link.sent += 1
         await stream.send_message(envelope)
 
@@ -332,34 +334,34 @@
 
     async def _read(self, link: _Link, stream: Any) -> None:
         async for envelope in stream:
-            self.traffic.received(envelope)
+            self.traffic.record_received(envelope)
             future = link.calls.get(envelope.call)
             if future and not future.done():
                 future.set_result(envelope)
 
-    async def _check(self, link: _Link, stream: Any) -> None:
+    async def _check_liveness(self, link: _Link, stream: Any) -> None:
         """Raises once what was sent gets no answer of any kind."""
-        covered = 0
+        sent_before = 0
         while True:
-            await asyncio.sleep(_CHECK_SECONDS)
-            if link.sent == covered:
+            await asyncio.sleep(_PING_INTERVAL_SECONDS)
+            if link.sent == sent_before:
                 continue
-            async with asyncio.timeout(_SILENT_SECONDS):
-                await self._ask_whether_open(link, stream)
-            covered = link.sent
+            async with asyncio.timeout(_PING_TIMEOUT_SECONDS):
+                await self._ping(link, stream)
+            sent_before = link.sent
 
-    async def _ask_whether_open(self, link: _Link, stream: Any) -> None:
-        number = next(self._numbers)
+    async def _ping(self, link: _Link, stream: Any) -> None:
+        call_id = next(self._call_ids)
         future = asyncio.get_running_loop().create_future()
-        link.calls[number] = future
-        question = Envelope(call=number, sender=self._identity)
+        link.calls[call_id] = future
+        ping = Envelope(call=call_id, sender=self._identity)
         try:
-            await self._send(link, stream, question)
+            await self._send(link, stream, ping)
             await future
         finally:
-            link.calls.pop(number, None)
+            link.calls.pop(call_id, None)
 
-    def _fail(self, link: _Link, reason: str) -> None:
+    def _fail_calls(self, link: _Link, reason: str) -> None:
         for future in link.calls.values():
             if not future.done():
                 future.set_exception(ConnectionError(reason))
@@ -367,7 +369,7 @@
             link.outbox.get_nowait()
 
 
-async def _first_of(*tasks: asyncio.Task[None]) -> None:
+async def _wait_for_first(*tasks: asyncio.Task[None]) -> None:
     """Waits until one task ends, ends the others, and raises its error."""
     try:
         done, _ = await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
--- a/src/ridgesill/adapters/runner_http.py
+++ b/src/ridgesill/adapters/runner_http.py
@@ -20,19 +20,19 @@
 DEADLINE_HEADER = "X-Order-Deadline"
 UNSTARTED_HEADER = "X-Unstarted"
 
-_POOLS = 1024
+_MAX_HOSTS = 1024
 _CONNECT_SECONDS = 1.0
-_LOAD_SECONDS = 10.0
+_ORDER_TIMEOUT_SECONDS = 10.0
 _PATHS = {
     LOAD: "/v1/load_lora_adapter",
     "unload": "/v1/unload_lora_adapter",
     FENCE: "/v1/fence",
 }
-_NOT_SENT = (
+_NOT_SENT_ERRORS = (
     urllib3.exceptions.NewConnectionError,
     urllib3.exceptions.ConnectTimeoutError,
 )
-_CHUNK = 65536
+_CHUNK_BYTES = 65536
 
 
 class HttpRunnerResponse:
@@ -60,7 +60,7 @@
     def chunks(self) -> Iterator[bytes]:
         """Yields the body as it arrives; raises `AnswerCutError`."""
         try:
-            yield from self._response.stream(_CHUNK)
+            yield from self._response.stream(_CHUNK_BYTES)
         except (urllib3.exceptions.HTTPError, OSError) as error:
             raise AnswerCutError(str(error)) from error
 
@@ -84,10 +84,15 @@
         seconds: how long a runner may stay silent within an answer.
     """
 
-    def __init__(self, seconds: float) -> None:
-        self._timeout = urllib3.Timeout(connect=_CONNECT_SECONDS, read=seconds)
+    def __init__(self, silence_seconds: float) -> None:
+        self._timeout = urllib3.Timeout(
+            connect=_CONNECT_SECONDS, read=silence_seconds
+        )
         self._pool = urllib3.PoolManager(
-            num_pools=_POOLS, maxsize=64, retries=False, timeout=self._timeout
+            num_pools=_MAX_HOSTS,
+            maxsize=64,
+            retries=False,
+            timeout=self._timeout,
         )
 
     def open(
@@ -107,11 +112,11 @@
                     num_pools=1, retries=False, timeout=self._timeout
                 )
                 response = self._send(fresh, url, request)
-        except _NOT_SENT as error:
+        except _NOT_SENT_ERRORS as error:
             return Err(RunnerFailure("connect", address, str(error), True))
         except urllib3.exceptions.HTTPError as error:
             return Err(RunnerFailure("request", address, str(error), False))
-        return _check(response, address)
+        return _to_result(response, address)
 
     def _send(
         self, pool: urllib3.PoolManager, url: str, request: RunnerRequest
@@ -126,7 +131,7 @@
         )
 
 
-def _check(
+def _to_result(
     response: urllib3.BaseHTTPResponse, address: str
 ) -> Result[HttpRunnerResponse, RunnerFailure]:
     if response.headers.get(UNSTARTED_HEADER, "") != "true":
@@ -142,9 +147,11 @@
     """Implements `ports.orders.Orders`."""
 
     def __init__(self) -> None:
-        timeout = urllib3.Timeout(connect=_CONNECT_SECONDS, read=_LOAD_SECONDS)
+        timeout = urllib3.Timeout(
+            connect=_CONNECT_SECONDS, read=_ORDER_TIMEOUT_SECONDS
+        )
         self._pool = urllib3.PoolManager(
-            num_pools=_POOLS, retries=False, timeout=timeout
+            num_pools=_MAX_HOSTS, retries=False, timeout=timeout
         )
         self._threads = ThreadPoolExecutor(16, "orders")
 
@@ -165,16 +172,18 @@
                 json={"lora_name": order.adapter},
                 headers=headers,
             )
-        except _NOT_SENT as error:
-            return _log_order(order, orders.FAILED, str(error))
+        except _NOT_SENT_ERRORS as error:
+            return _log_failed_order(order, orders.FAILED, str(error))
         except urllib3.exceptions.HTTPError as error:
-            return _log_order(order, orders.UNKNOWN, str(error))
+            return _log_failed_order(order, orders.UNKNOWN, str(error))
         if response.status == 200:
             return orders.DONE
-        return _log_order(order, orders.FAILED, f"status {response.status}")
+        return _log_failed_order(
+            order, orders.FAILED, f"status {response.status}"
+        )
 
 
-def _log_order(order: Order, verdict: str, detail: str) -> str:
+def _log_failed_order(order: Order, verdict: str, detail: str) -> str:
     log_message(
         "order:not_done",
         step=order.action,
--- a/src/ridgesill/adapters/serving_metrics.py
+++ b/src/ridgesill/adapters/serving_metrics.py
@@ -5,9 +5,9 @@
 from ridgesill.adapters.metrics import MeterSet
 from ridgesill.ports.telemetry import RequestEnd
 
-_KIBIBYTE = 1024
+_BYTES_PER_KIBIBYTE = 1024
 # Unknown words that are counted by name; upstreams may invent any number.
-_WORDS_MOST = 16
+_MAX_NAMED_WORDS = 16
 
 
 class ServingMetrics(MeterSet):
@@ -24,13 +24,15 @@
         self._by_customer = meter.create_counter("ridgesill_customer_requests")
         self._attempts = meter.create_counter("ridgesill_attempts")
         self._total = meter.create_histogram("ridgesill_total_seconds")
-        self._first = meter.create_histogram("ridgesill_first_event_seconds")
-        self._waited = meter.create_histogram("ridgesill_load_wait_seconds")
+        self._first_event = meter.create_histogram(
+            "ridgesill_first_event_seconds"
+        )
+        self._load_wait = meter.create_histogram("ridgesill_load_wait_seconds")
         self._orders = meter.create_counter("ridgesill_orders")
         self._loads = meter.create_histogram("ridgesill_adapter_load_seconds")
         self._unknown_words = meter.create_counter("ridgesill_unknown_words")
         self._named_words: set[str] = set()
-        self.watch("ridgesill_peak_memory_bytes", _peak_memory)
+        self.add_gauge("ridgesill_peak_memory_bytes", _read_peak_memory_bytes)
 
     def note_end(self, end: RequestEnd) -> None:
         """Counts the end of a request."""
@@ -49,9 +51,9 @@
                 },
             )
         if end.outcome == "served":
-            self._first.record(end.first_seconds, labels)
+            self._first_event.record(end.first_seconds, labels)
         if end.waited_seconds:
-            self._waited.record(end.waited_seconds, labels)
+            self._load_wait.record(end.waited_seconds, labels)
 
     def note_order(self, action: str, verdict: str) -> None:
         """Counts an order to an engine."""
@@ -63,12 +65,12 @@
 
     def note_unknown_word(self, word: str) -> None:
         """Counts a word of an upstream that nothing here reads."""
-        if len(self._named_words) < _WORDS_MOST:
+        if len(self._named_words) < _MAX_NAMED_WORDS:
             self._named_words.add(word)
         label = word if word in self._named_words else "others"
         self._unknown_words.add(1, {"word": label})
 
 
-def _peak_memory() -> float:
+def _read_peak_memory_bytes() -> float:
     used = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
-    return float(used * _KIBIBYTE)
+    return float(used * _BYTES_PER_KIBIBYTE)
--- a/src/ridgesill/app/fleet_owner.py
+++ b/src/ridgesill/app/fleet_owner.py
@@ -316,7 +316,7 @@
         self._backlogs.prune_lost(now)
         self._backlogs.discard_except(set(registry.upstreams))
         self._health.discard_except(set(registry.upstreams))
-        self._channels.sweep()
+        self._channels.prune()
         self._orders.prune_expired()
         engines = self._placement.engines.values()
         self._leases.update_holders(engines)
--- a/src/ridgesill/app/formation.py
+++ b/src/ridgesill/app/formation.py
@@ -81,7 +81,7 @@
         state.skip_to(_FOUNDING_INDEX)
         voters = tuple(sorted(node.voter for node in self._heard.values()))
         snapshot = make_initial_snapshot(voters, state.dump(), _FOUNDING_INDEX)
-        self._storage.found(self.identity, snapshot)
+        self._storage.initialize(self.identity, snapshot)
         log_message("log:founded", identity=self.identity, voters=voters)
 
     def _is_enough(self, waited: float) -> bool:
@@ -96,7 +96,7 @@
     failing = False
     while True:
         try:
-            storage.join(name)
+            storage.initialize_with_new_identity(name)
         except OSError as error:
             if not failing:
                 log_message("log:disk_refuses", step="join", detail=str(error))
--- a/src/ridgesill/app/forwarding.py
+++ b/src/ridgesill/app/forwarding.py
@@ -430,16 +430,16 @@
         )
         forwarded = front.dialect.forward(self._request, terms)
         fresh = 60.0 if route.is_idempotent else _FRESH_FOR_UNSAFE
-        channel = await front.channels.take(
+        channel = await front.channels.acquire(
             upstream.address,
-            fresh_within=fresh,
-            most=self._channels_most(),
+            max_idle_seconds=fresh,
+            max_open=self._channels_most(),
         )
         if not self._search.takes_requests(upstream.name):
             # Another answer has said so while the channel came up.
-            front.channels.put_back(channel)
+            front.channels.release_unused(channel)
             raise _WithheldError(f"{upstream.name} wants no requests now")
-        return front.channels.begin(channel, forwarded)
+        return front.channels.start_exchange(channel, forwarded)
 
     def _channels_most(self) -> int:
         """Returns this front's share of the channels that an upstream takes."""
--- a/src/ridgesill/app/found.py
+++ b/src/ridgesill/app/found.py
@@ -23,5 +23,5 @@
     identity = first_identity(settings.name)
     voters = tuple(first_identity(name) for name in sorted(settings.seeds))
     storage = FileLog(Path(settings.data_folder))
-    storage.found(identity, make_initial_snapshot(voters, b""))
+    storage.initialize(identity, make_initial_snapshot(voters, b""))
     return identity
--- a/src/ridgesill/app/front_process.py
+++ b/src/ridgesill/app/front_process.py
@@ -224,7 +224,7 @@
     async def _sweep(self) -> None:
         while True:
             await asyncio.sleep(_SWEEP_SECONDS)
-            self.front.channels.sweep()
+            self.front.channels.prune()
             known = set(self.fleet.view.upstreams)
             self.front.chooser.outcomes.discard_except(known)
             now = self._loop.time()
--- a/src/ridgesill/app/node.py
+++ b/src/ridgesill/app/node.py
@@ -125,22 +125,22 @@
         self.pools.observe_load = self._metrics.observe_load
         control = self.control
         metrics = self._metrics
-        metrics.watch(
+        metrics.add_gauge(
             "ridgesill_configuration_version",
             lambda: float(control.state.version),
         )
-        metrics.watch(
+        metrics.add_gauge(
             "ridgesill_freshness_age_seconds",
             lambda: min(control.freshness.age(self._loop.time()), 1e9),
         )
-        metrics.watch(
+        metrics.add_gauge(
             "ridgesill_requests_in_progress",
             lambda: float(self._caller_app.in_progress),
         )
 
         traffic = self._peers.traffic
         for field in attrs.fields(Traffic):
-            metrics.watch(
+            metrics.add_gauge(
                 f"ridgesill_peer_{field.name}",
                 functools.partial(getattr, traffic, field.name),
             )
@@ -362,5 +362,5 @@
         return None
     storage = FileLog(Path(settings.data_folder))
     if not storage.identity:
-        storage.join(settings.name)
+        storage.initialize_with_new_identity(settings.name)
     return storage
--- a/src/ridgesill/app/telemetry.py
+++ b/src/ridgesill/app/telemetry.py
@@ -60,7 +60,7 @@
             await asyncio.sleep(_PAUSE_SECONDS)
         metrics = module.ServingMetrics()
         for name, read in self._gauges.items():
-            metrics.watch(name, read)
+            metrics.add_gauge(name, read)
         before = self._swap(metrics)
         if isinstance(before, KeptTelemetry):
             before.hand_over(metrics)
--- a/src/ridgesill/standin/emulator/engines.py
+++ b/src/ridgesill/standin/emulator/engines.py
@@ -239,14 +239,14 @@
         address: str,
         request: HttpRequest,
         *,
-        fresh_within: float = 60.0,
-        most: int = 0,
+        max_idle_seconds: float = 60.0,
+        max_open: int = 0,
     ) -> EmulatedExchange:
         """Sends a request."""
-        return self.begin(await self.take(address), request)
+        return self.start_exchange(await self.acquire(address), request)
 
-    async def take(
-        self, address: str, *, fresh_within: float = 60.0, most: int = 0
+    async def acquire(
+        self, address: str, *, max_idle_seconds: float = 60.0, max_open: int = 0
     ) -> str:
         """Returns an address that takes requests, in place of a channel."""
         engine = self._engines.get(address)
@@ -255,10 +255,12 @@
             raise ChannelError("connect", address, "refused", False)
         return address
 
-    def put_back(self, channel: str) -> None:
+    def release_unused(self, channel: str) -> None:
         """Does nothing: no channel is kept."""
 
-    def begin(self, channel: str, request: HttpRequest) -> EmulatedExchange:
+    def start_exchange(
+        self, channel: str, request: HttpRequest
+    ) -> EmulatedExchange:
         """Sends a request to an address that was taken."""
         engine = self._engines[channel]
         exchange = EmulatedExchange(channel, self._delay)
@@ -274,7 +276,7 @@
         engine = self._engines.get(address)
         return engine is None or not engine.is_up
 
-    def sweep(self) -> None:
+    def prune(self) -> None:
         """Does nothing: no channel is kept."""
 
 
--- a/src/ridgesill/standin/process.py
+++ b/src/ridgesill/standin/process.py
@@ -18,13 +18,13 @@
 
 from ridgesill.adapters.announce_http import ANNOUNCE_PATH
 from ridgesill.adapters.http_server import (
-    Answer,
+    HttpResponse,
     HttpServer,
     ServerLimits,
     StartResponse,
-    json_answer,
+    json_response,
     read_body,
-    send_answer,
+    send_response,
 )
 from ridgesill.adapters.runner_http import EPOCH_HEADER, UNSTARTED_HEADER
 from ridgesill.core import codec
@@ -86,17 +86,19 @@
         if path.startswith("/v1/") and path.endswith("completions"):
             return self._complete(environ, body, start_response)
         answer = self._order(path, body, int(environ.get(_EPOCH_KEY, "0")))
-        return send_answer(answer, start_response)
+        return send_response(answer, start_response)
 
-    def _order(self, path: str, body: dict[str, Any], epoch: int) -> Answer:
+    def _order(
+        self, path: str, body: dict[str, Any], epoch: int
+    ) -> HttpResponse:
         adapter = body.get("lora_name", "")
         try:
             self._wait(self._carry_out(path, adapter, epoch))
         except FencedError as error:
-            return json_answer(409, {"error": str(error)})
+            return json_response(409, {"error": str(error)})
         except OrderError as error:
-            return json_answer(500, {"error": str(error)})
-        return json_answer(200, {})
+            return json_response(500, {"error": str(error)})
+        return json_response(200, {})
 
     async def _carry_out(self, path: str, adapter: str, epoch: int) -> None:
         if path == "/v1/load_lora_adapter":
@@ -124,7 +126,7 @@
         started = self._wait(self._start(name, body, tokens))
         if isinstance(started, Exception):
             status = 404 if isinstance(started, AbsentError) else 503
-            answer = json_answer(status, {"error": repr(started)})
+            answer = json_response(status, {"error": repr(started)})
             headers = [
                 ("Content-Type", "application/json"),
                 (UNSTARTED_HEADER, "true"),
@@ -170,13 +172,13 @@
         content = []
         while (item := tokens.get()) is not None:
             if isinstance(item, Exception):
-                return send_answer(
-                    json_answer(500, {"error": "cut"}), start_response
+                return send_response(
+                    json_response(500, {"error": "cut"}), start_response
                 )
             content.append(_token(words, item))
         choice = {"index": 0, "message": {"content": " ".join(content)}}
-        return send_answer(
-            json_answer(200, {"choices": [choice]}), start_response
+        return send_response(
+            json_response(200, {"choices": [choice]}), start_response
         )
 
 
@@ -251,8 +253,8 @@
             for field, name in _ECHOED.items()
             if field in environ
         )
-        whole = attrs.evolve(json_answer(200, answer), headers=echoed)
-        return send_answer(whole, start_response)
+        whole = attrs.evolve(json_response(200, answer), headers=echoed)
+        return send_response(whole, start_response)
 
 
 class Announcer:
--- a/testing/adapters/test_bounded_log.py
+++ b/testing/adapters/test_bounded_log.py
@@ -16,12 +16,12 @@
     data = b""
     while True:
         try:
-            part = os.read(descriptor, 65536)
+            data_read = os.read(descriptor, 65536)
         except BlockingIOError:
             break
-        if not part:
+        if not data_read:
             break
-        data += part
+        data += data_read
     return [msgspec.json.decode(text) for text in data.splitlines()]
 
 
@@ -50,11 +50,11 @@
         reader, writer = os.pipe()
         os.set_blocking(writer, False)
         log = BoundedLog("vm-1", writer)
-        most = int(logs._LINES_BURST)
+        most = int(logs._BURST_LINES)
         for _ in range(most):
             log({"message_type": "request:end", "outcome": "served"})
         log({"message_type": "request:end", "outcome": "refused"})
-        kept = [msgspec.json.decode(text) for text in log._lines]
+        kept = [msgspec.json.decode(text) for text in log._queue]
         served = [k for k in kept if k.get("outcome") == "served"]
         assert len(served) < most
         assert kept[-1]["outcome"] == "refused"
--- a/testing/adapters/test_file_log.py
+++ b/testing/adapters/test_file_log.py
@@ -13,7 +13,7 @@
 def founded(folder: Path) -> FileLog:
     """Returns a founded log, open for appending."""
     log = FileLog(folder)
-    log.found("a.0", make_initial_snapshot(("a.0",), b""))
+    log.initialize("a.0", make_initial_snapshot(("a.0",), b""))
     log.load()
     return log
 
@@ -56,7 +56,7 @@
     ) -> None:
         disk = FullDisk()
         log = FileLog(tmp_path, disk.sync)
-        log.found("a.0", make_initial_snapshot(("a.0",), b""))
+        log.initialize("a.0", make_initial_snapshot(("a.0",), b""))
         log.load()
         log.append(None, entries(1, 2))
         disk.is_full = True
@@ -90,7 +90,9 @@
 
     def test_every_append_is_synced(self, tmp_path: Path) -> None:
         synced: list[int] = []
-        FileLog(tmp_path).found("a.0", make_initial_snapshot(("a.0",), b""))
+        FileLog(tmp_path).initialize(
+            "a.0", make_initial_snapshot(("a.0",), b"")
+        )
         log = FileLog(tmp_path, sync=synced.append)
         log.load()
         log.append(None, entries(1, 1))
@@ -185,20 +187,20 @@
     ) -> None:
         log = founded(tmp_path)
         with pytest.raises(StorageError, match="founded here before"):
-            log.found("a.0", make_initial_snapshot(("a.0",), b""))
+            log.initialize("a.0", make_initial_snapshot(("a.0",), b""))
 
     def test_a_lost_disk_gets_an_identity_of_its_own(
         self, tmp_path: Path
     ) -> None:
         first = FileLog(tmp_path / "one")
-        first.join("a")
+        first.initialize_with_new_identity("a")
         second = FileLog(tmp_path / "two")
-        second.join("a")
+        second.initialize_with_new_identity("a")
         assert first.identity != second.identity
         assert first.identity.startswith("a.")
         assert "a.0" not in (first.identity, second.identity)
 
     def test_it_is_kept(self, tmp_path: Path) -> None:
         log = FileLog(tmp_path)
-        log.join("a")
+        log.initialize_with_new_identity("a")
         assert reopened(tmp_path).identity == log.identity
--- a/testing/app/test_formation.py
+++ b/testing/app/test_formation.py
@@ -109,11 +109,11 @@
 
     refusals = 2
 
-    def join(self, name: str) -> None:
+    def initialize_with_new_identity(self, name: str) -> None:
         if self.refusals:
             self.refusals -= 1
             raise OSError(28, "No space left on device")
-        super().join(name)
+        super().initialize_with_new_identity(name)
 
 
 class TestFullDisk:
--- a/testing/app/test_forwarding.py
+++ b/testing/app/test_forwarding.py
@@ -542,7 +542,7 @@
         await world.add("u1", answer_ok)
         client = await world.open()
         await client.ask("/safe/x")
-        (resting,) = world.front.channels._resting.values()
+        (resting,) = world.front.channels._idle.values()
         opened = resting[0]._transport.get_extra_info("socket")
 
         def option(level: int, name: int) -> int:
