--- a/src/ridgesill/adapters/peer_rpc.py
+++ b/src/ridgesill/adapters/peer_rpc.py
@@ -33,7 +33,7 @@
 # partition would hang until TCP retransmits, at ever longer intervals.
 _PING_INTERVAL_SECONDS = 0.4
 _PING_TIMEOUT_SECONDS = 0.7
-# Bodies of at least this size are compressed, to reduce the traffic between data
+# Bodies of at least this size are compressed, to reduce traffic between data
 # centres: updates to fronts repeat the names of fields and upstreams.
 _COMPRESS_MIN_BYTES = 400
 _COMPRESS_LEVEL = 1
--- a/testing/adapters/__init__.py
+++ b/testing/adapters/__init__.py
@@ -1,1 +1,1 @@
-"""Tests."""
+"""Tests of the adapters."""
--- a/testing/adapters/http1/__init__.py
+++ b/testing/adapters/http1/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of HTTP on the event loop."""
+"""Tests of the HTTP/1.1 server."""
--- a/testing/adapters/http1/test_server.py
+++ b/testing/adapters/http1/test_server.py
@@ -1,4 +1,4 @@
-"""Tests of the listener: bad input and slow clients."""
+"""Tests of the HTTP/1.1 server: invalid requests, limits and draining."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -12,7 +12,7 @@
 
 
 async def echo(request: HttpRequest, responder: Responder) -> None:
-    """Answers with the request's body."""
+    """Responds with the request's body; slowly or not at all on some paths."""
     if request.path == "/slow":
         responder.send_head(200, ((b"content-length", b"4"),))
         await asyncio.sleep(0.2)
@@ -20,7 +20,7 @@
         responder.finish()
         return
     if request.path == "/fault":
-        raise RuntimeError("a fault of the handler")
+        raise RuntimeError("error in the handler")
     length = b"%d" % len(request.body)
     responder.send_head(200, ((b"content-length", length),))
     responder.send_data(request.body)
@@ -29,16 +29,16 @@
 
 @pytest.fixture
 async def listener() -> AsyncIterator[HttpListener]:
-    """Returns a listener that answers with what it gets."""
+    """Yields a listener that runs `echo`."""
     limits = ClientLimits(1024, 2048, 0.3, 1.0)
-    made = HttpListener(free_address(), echo, limits)
-    await made.start()
-    yield made
-    await made.stop()
+    started = HttpListener(free_address(), echo, limits)
+    await started.start()
+    yield started
+    await started.stop()
 
 
 async def exchange(listener: HttpListener, data: bytes) -> bytes:
-    """Sends bytes and returns everything up to the end of the channel."""
+    """Sends bytes and returns all bytes received until the connection ends."""
     host, _, port = listener._address.rpartition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     writer.write(data)
@@ -48,7 +48,7 @@
 
 
 class TestBadInput:
-    async def test_a_request_line_that_is_none(
+    async def test_an_invalid_request_line(
         self, listener: HttpListener
     ) -> None:
         answer = await exchange(listener, b"what is this\r\n\r\n")
@@ -64,22 +64,26 @@
         answer = await exchange(listener, head + b"x" * 4096)
         assert answer.startswith(b"HTTP/1.1 413")
 
-    async def test_a_head_that_never_ends(self, listener: HttpListener) -> None:
+    async def test_an_incomplete_head_times_out(
+        self, listener: HttpListener
+    ) -> None:
         answer = await exchange(listener, b"GET / HTTP/1.1\r\nHost:")
         assert answer.startswith(b"HTTP/1.1 408")
 
-    async def test_a_fault_ends_only_its_own_request(
+    async def test_an_exception_fails_only_its_own_request(
         self, listener: HttpListener
     ) -> None:
-        faulty = b"GET /fault HTTP/1.1\r\nHost: a\r\n\r\n"
-        sound = b"GET / HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"
-        answer = await exchange(listener, faulty + sound)
+        failing = b"GET /fault HTTP/1.1\r\nHost: a\r\n\r\n"
+        succeeding = b"GET / HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"
+        answer = await exchange(listener, failing + succeeding)
         assert answer.startswith(b"HTTP/1.1 502")
         assert b"HTTP/1.1 200" in answer
 
 
 class TestBodies:
-    async def test_chunks_make_up_a_body(self, listener: HttpListener) -> None:
+    async def test_a_chunked_body_is_joined(
+        self, listener: HttpListener
+    ) -> None:
         request = (
             b"POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n"
             b"Connection: close\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"
@@ -89,7 +93,7 @@
 
 
 class TestDraining:
-    async def test_answers_ask_the_client_to_close(
+    async def test_responses_ask_the_client_to_close(
         self, listener: HttpListener
     ) -> None:
         listener.drain()
@@ -97,7 +101,7 @@
         answer = await exchange(listener, request)
         assert b"connection: close" in answer.lower()
 
-    async def test_new_channels_are_refused_while_open_ones_go_on(
+    async def test_closed_listener_serves_open_connections_only(
         self, listener: HttpListener
     ) -> None:
         host, _, port = listener._address.rpartition(":")
@@ -111,22 +115,22 @@
         assert await reader.readuntil(b"\r\n\r\n")
         writer.close()
 
-    async def test_a_channel_ends_with_an_answer_begun_before(
+    async def test_connection_closes_after_a_response_begun_before_draining(
         self, listener: HttpListener
     ) -> None:
-        # Its client would go on sending requests until the process is gone.
+        # Otherwise the client would send requests until the process exits.
         host, _, port = listener._address.rpartition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         writer.write(b"GET /slow HTTP/1.1\r\nHost: a\r\n\r\n")
         head = await reader.readuntil(b"\r\n\r\n")
         assert b"close" not in head.lower()
         listener.drain()
-        # Well before a channel at rest is closed.
+        # Shorter than the idle timeout of 1 s.
         rest = await asyncio.wait_for(reader.read(), 0.7)
         assert rest == b"slow"
         writer.close()
 
-    async def test_a_request_that_came_meanwhile_is_still_answered(
+    async def test_request_received_before_the_connection_closes_is_served(
         self, listener: HttpListener
     ) -> None:
         host, _, port = listener._address.rpartition(":")
--- a/testing/adapters/test_admin_http.py
+++ b/testing/adapters/test_admin_http.py
@@ -1,4 +1,4 @@
-"""Tests of the administration interface, on real processes."""
+"""Tests of the administration API with real processes."""
 
 import pytest
 import urllib3
@@ -16,7 +16,7 @@
 
 
 def get(node: NodeHandle, path: str, token: str) -> urllib3.BaseHTTPResponse:
-    """Returns the answer of the administration interface."""
+    """Returns the response to a GET request with a token."""
     headers = {"Authorization": token} if token else {}
     url = f"http://{node.admin}{path}"
     return urllib3.request("GET", url, headers=headers, retries=False)
@@ -24,7 +24,7 @@
 
 class TestToken:
     @pytest.mark.parametrize("token", ["", "Bearer wrong", "Basic x"])
-    def test_without_it_there_is_no_detail(
+    def test_response_without_valid_token_is_empty_401(
         self, node: NodeHandle, token: str
     ) -> None:
         for path in ("/v1/status", "/v1/nothing", "/metrics"):
@@ -33,7 +33,7 @@
 
 
 class TestStatus:
-    def test_it_tells_owners_nodes_and_runners(
+    def test_status_lists_nodes_voters_and_pools(
         self, serving: Deployment
     ) -> None:
         leader = serving.leader()
@@ -44,7 +44,7 @@
         pools = {pool["pool"] for pool in status["pools"]}
         assert {"east/assist", "west/assist", "east/tickets"} <= pools
 
-    def test_everyone_has_the_version_in_force(
+    def test_configuration_version_has_reached_all_nodes(
         self, serving: Deployment
     ) -> None:
         leader = serving.leader()
@@ -74,7 +74,7 @@
 
 
 class TestApply:
-    def test_a_bad_file_changes_nothing_and_lists_all(
+    def test_invalid_file_is_rejected_with_all_errors(
         self, node: NodeHandle, serving: Deployment
     ) -> None:
         text = make_configuration().replace("version = 1", "version = 2", 1)
@@ -91,7 +91,7 @@
         answer = serving.apply(node, make_configuration())
         assert "version 1 is accepted" in answer
 
-    def test_an_equal_version_of_another_text_is_refused(
+    def test_same_version_with_other_content_is_rejected(
         self, node: NodeHandle, serving: Deployment
     ) -> None:
         text = make_configuration() + "\n[team late]\n"
--- a/testing/adapters/test_announce_http.py
+++ b/testing/adapters/test_announce_http.py
@@ -1,4 +1,4 @@
-"""Fields of runners' announcements that nothing reads are logged once."""
+"""Tests of the endpoint for runners' announcements."""
 
 import io
 import json
@@ -8,7 +8,7 @@
 
 from ridgesill.adapters.announce_http import ANNOUNCE_PATH, AnnounceApp
 
-_SAID = {
+_ANNOUNCEMENT = {
     "name": "r1",
     "incarnation": "i1",
     "service": "s",
@@ -19,8 +19,9 @@
 }
 
 
-def announce(app: AnnounceApp, **more: Any) -> None:
-    body = json.dumps({**_SAID, **more}).encode()
+def announce(app: AnnounceApp, **changes: Any) -> None:
+    """Sends an announcement with additional or changed fields."""
+    body = json.dumps({**_ANNOUNCEMENT, **changes}).encode()
     environ = {
         "PATH_INFO": ANNOUNCE_PATH,
         "REQUEST_METHOD": "POST",
@@ -31,18 +32,18 @@
 
 
 class TestUnknownFields:
-    def test_each_incarnation_is_logged_once(self) -> None:
-        taken: list[object] = []
-        app = AnnounceApp(taken.append)
+    def test_unknown_field_is_logged_once_per_incarnation(self) -> None:
+        announcements: list[object] = []
+        app = AnnounceApp(announcements.append)
         logger = eliot.MemoryLogger()
-        before = eliot.testing.swap_logger(logger)
+        previous_logger = eliot.testing.swap_logger(logger)
         try:
             announce(app)
             announce(app, mood="sad")
             announce(app, mood="sad")
             announce(app, mood="sad", incarnation="i2")
         finally:
-            eliot.testing.swap_logger(before)
-        words = [message["word"] for message in logger.messages]
-        assert words == ["mood", "mood"]
-        assert len(taken) == 4
+            eliot.testing.swap_logger(previous_logger)
+        unknown_fields = [message["word"] for message in logger.messages]
+        assert unknown_fields == ["mood", "mood"]
+        assert len(announcements) == 4
--- a/testing/adapters/test_bounded_log.py
+++ b/testing/adapters/test_bounded_log.py
@@ -1,4 +1,4 @@
-"""Tests of a log that never waits for its reader."""
+"""Tests of the log that never blocks on its reader."""
 
 import os
 import select
@@ -11,7 +11,7 @@
 
 
 def read_lines(descriptor: int) -> list[dict[str, object]]:
-    """Returns what can be read now."""
+    """Returns the lines that can be read without blocking."""
     os.set_blocking(descriptor, False)
     data = b""
     while True:
@@ -35,7 +35,7 @@
             {"vm": "vm-1", "message_type": "x", "number": 3}
         ]
 
-    async def test_a_reader_that_does_not_read_holds_nothing_up(self) -> None:
+    async def test_writer_does_not_block_on_a_stalled_reader(self) -> None:
         reader, writer = os.pipe()
         os.set_blocking(writer, False)
         log = BoundedLog("vm-1", writer)
@@ -46,39 +46,38 @@
         log.flush()
         log.close()
 
-    async def test_failures_outlast_ends_that_went_well(self) -> None:
+    async def test_lines_of_successful_requests_are_dropped_first(self) -> None:
         reader, writer = os.pipe()
         os.set_blocking(writer, False)
         log = BoundedLog("vm-1", writer)
-        most = int(logs._BURST_LINES)
-        for _ in range(most):
+        burst = int(logs._BURST_LINES)
+        for _ in range(burst):
             log({"message_type": "request:end", "outcome": "served"})
         log({"message_type": "request:end", "outcome": "refused"})
         kept = [msgspec.json.decode(text) for text in log._queue]
         served = [k for k in kept if k.get("outcome") == "served"]
-        assert len(served) < most
+        assert len(served) < burst
         assert kept[-1]["outcome"] == "refused"
         assert log._dropped > 0
         read_lines(reader)
         log.close()
 
-    async def test_each_write_is_what_a_pipe_takes_whole(
+    async def test_no_write_is_larger_than_pipe_buf(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        # On a day when an engine fell, up to a third of the lines that its
-        # owner wrote around that moment were missing: each write was up to
-        # 32 KB, and its reader took the first 8,192 bytes. So no line told
-        # which order had been given last.
-        writes: list[int] = []
+        # With writes of up to 32 KB, a reader that took only the first 8,192
+        # bytes of each lost up to a third of an owner's lines while an engine
+        # failed, among them the line with the last order.
+        write_sizes: list[int] = []
 
-        def note_write(_descriptor: int, data: bytes) -> int:
-            writes.append(len(data))
+        def record_write(_descriptor: int, data: bytes) -> int:
+            write_sizes.append(len(data))
             return len(data)
 
-        monkeypatch.setattr(os, "write", note_write)
+        monkeypatch.setattr(os, "write", record_write)
         log = BoundedLog("vm-1", 1)
         for number in range(200):
             log({"message_type": "fleet:order", "text": "x" * 250, "n": number})
         log.close()
-        assert sum(writes) > 50_000
-        assert max(writes) <= select.PIPE_BUF
+        assert sum(write_sizes) > 50_000
+        assert max(write_sizes) <= select.PIPE_BUF
--- a/testing/adapters/test_caller_http.py
+++ b/testing/adapters/test_caller_http.py
@@ -1,4 +1,4 @@
-"""Tests of the callers' interface, on real processes."""
+"""Tests of the callers' API with real processes."""
 
 import pytest
 
@@ -21,7 +21,7 @@
 
 
 class TestBadInput:
-    def test_a_body_that_is_no_json(self, node: NodeHandle) -> None:
+    def test_a_body_that_is_not_json(self, node: NodeHandle) -> None:
         answer = request(node, "POST", CHAT, b"{nope")
         assert answer.status == 400
         assert answer.outcome == "not-run"
@@ -48,20 +48,20 @@
         assert (answer.status, answer.outcome) == (404, "not-run")
         assert answer.error["code"] == "unknown-adapter"
 
-    def test_an_unknown_version_names_those_there_are(
+    def test_unknown_version_error_lists_known_versions(
         self, node: NodeHandle
     ) -> None:
         answer = chat(node, "a1@v9")
         assert answer.status == 404
         assert "v2, v1" in answer.error["message"]
 
-    def test_an_adapter_without_an_allowed_place(
+    def test_an_adapter_that_no_data_centre_may_serve(
         self, node: NodeHandle
     ) -> None:
         answer = chat(node, "a23")
         assert (answer.status, answer.outcome) == (403, "not-run")
 
-    def test_a_place_without_a_runner_says_when_to_come_back(
+    def test_refusal_without_a_runner_has_retry_after(
         self, node: NodeHandle
     ) -> None:
         answer = chat(node, "lonely", {"X-Ridgesill-Timeout": "1"})
@@ -73,7 +73,7 @@
         answer = send_raw(node, head.encode() + b"\r\n")
         assert b" 200 " not in answer.split(b"\r\n")[0]
 
-    def test_a_slow_client_is_let_go(self, node: NodeHandle) -> None:
+    def test_a_slow_client_is_disconnected(self, node: NodeHandle) -> None:
         head = f"POST {CHAT} HTTP/1.1\r\nHost: x\r\nContent-Length: 100\r\n\r\n"
         answer = send_raw(node, head.encode() + b"{", seconds=8.0)
         assert b" 200 " not in answer.split(b"\r\n")[0]
@@ -82,7 +82,7 @@
     def test_an_unknown_path(self, node: NodeHandle) -> None:
         assert request(node, "GET", "/v1/nothing").status == 404
 
-    def test_administration_is_not_on_the_callers_port(
+    def test_admin_paths_are_not_served_to_callers(
         self, node: NodeHandle, serving: Deployment
     ) -> None:
         headers = {"Authorization": f"Bearer {serving.token}"}
@@ -98,21 +98,21 @@
             {"Idempotency-Key": "k" * 300},
         ],
     )
-    def test_bad_options(
+    def test_invalid_headers(
         self, node: NodeHandle, headers: dict[str, str]
     ) -> None:
         assert chat(node, "a1", headers).status == 400
 
 
 class TestStream:
-    def test_it_ends_whole(self, node: NodeHandle) -> None:
+    def test_stream_is_complete(self, node: NodeHandle) -> None:
         response, chunks = open_stream(node, "a1", max_tokens=5)
         data = b"".join(chunks)
         assert response.headers["X-Ridgesill-Outcome"] == "completed"
         assert data.count(b"data: {") == 5
         assert data.rstrip().endswith(b"data: [DONE]")
 
-    def test_a_caller_that_goes_away_frees_its_slot(
+    def test_disconnected_caller_frees_its_slot(
         self, node: NodeHandle, serving: Deployment
     ) -> None:
         response, chunks = open_stream(node, "a3", max_tokens=100_000)
@@ -147,11 +147,11 @@
 
 
 class TestPlainService:
-    def test_a_call_is_passed_on(self, node: NodeHandle) -> None:
+    def test_a_call_is_forwarded(self, node: NodeHandle) -> None:
         answer = request(node, "POST", "/services/tickets/new", b"{}")
         assert (answer.status, answer.outcome) == (200, "completed")
 
-    def test_headers_are_passed_on_both_ways(self, node: NodeHandle) -> None:
+    def test_headers_are_forwarded_both_ways(self, node: NodeHandle) -> None:
         headers = {"X-Trace": "abc", "X-Ridgesill-Team": "crews"}
         answer = request(node, "POST", "/services/tickets/new", b"{}", headers)
         assert answer.headers["X-Echo-Trace"] == "abc"
@@ -162,7 +162,7 @@
 
 
 class TestIdempotencyKey:
-    def test_a_resend_elsewhere_gets_the_first_answer(
+    def test_resend_to_another_node_gets_the_first_response(
         self, serving: Deployment
     ) -> None:
         headers = {"Idempotency-Key": "resend"}
@@ -175,7 +175,7 @@
         assert len({answer.data for answer in answers}) == 1
         assert "X-Ridgesill-Replayed" in answers[1].headers
 
-    def test_a_key_of_another_request_is_refused(
+    def test_reuse_of_a_key_for_another_request_is_refused(
         self, node: NodeHandle
     ) -> None:
         headers = {"Idempotency-Key": "reused"}
@@ -191,7 +191,9 @@
         assert first.outcome == second.outcome == "not-run"
         assert second.error["code"] == "no-runner"
 
-    def test_a_model_call_is_replayed_too(self, serving: Deployment) -> None:
+    def test_response_of_a_model_call_is_replayed(
+        self, serving: Deployment
+    ) -> None:
         headers = {"Idempotency-Key": "model"}
         first = chat(serving.nodes["n1"], "a5", headers)
         second = chat(serving.nodes["n3"], "a5", headers)
--- a/testing/adapters/test_peer_rpc.py
+++ b/testing/adapters/test_peer_rpc.py
@@ -1,4 +1,4 @@
-"""Tests of streams between nodes, through a proxy that can fall silent."""
+"""Tests of streams between nodes, through a proxy that can drop data."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -20,37 +20,37 @@
 from testing.processes import free_address
 
 
-class SilentProxy:
-    """Passes bytes on until it is told to swallow those of open channels."""
+class DroppingProxy:
+    """A TCP proxy that can drop all data of its open connections."""
 
     def __init__(self, target: str) -> None:
         self.address = free_address()
         self._target = split_address(target)
-        self._opened = 0
-        self._silent_before = 0
+        self._accepted = 0
+        self._dropped_before = 0
         self._server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Begins to listen."""
+        """Starts to listen."""
         host, port = split_address(self.address)
         self._server = await asyncio.start_server(self._serve, host, port)
 
-    def fall_silent(self) -> None:
-        """Swallows everything on the channels that are open now."""
-        self._silent_before = self._opened
+    def drop_open_connections(self) -> None:
+        """Drops all further data on the connections that are open now."""
+        self._dropped_before = self._accepted
 
     async def _serve(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        number = self._opened
-        self._opened += 1
-        there = await asyncio.open_connection(*self._target)
+        number = self._accepted
+        self._accepted += 1
+        upstream_streams = await asyncio.open_connection(*self._target)
         await asyncio.gather(
-            self._pass(number, reader, there[1]),
-            self._pass(number, there[0], writer),
+            self._forward(number, reader, upstream_streams[1]),
+            self._forward(number, upstream_streams[0], writer),
         )
 
-    async def _pass(
+    async def _forward(
         self,
         number: int,
         reader: asyncio.StreamReader,
@@ -58,7 +58,7 @@
     ) -> None:
         try:
             while data := await reader.read(65536):
-                if number >= self._silent_before:
+                if number >= self._dropped_before:
                     writer.write(data)
                     await writer.drain()
         except ConnectionError:
@@ -72,57 +72,59 @@
             self._server.close()
 
 
-async def answer(_sender: str, message: Any) -> Any:
-    """Answers a question; others get no answer."""
+async def reply_to_ask_latest(_sender: str, message: Any) -> Any:
+    """Replies to `AskLatest` only."""
     return Latest(7) if isinstance(message, AskLatest) else None
 
 
 @pytest.fixture
-async def proxy() -> AsyncIterator[SilentProxy]:
-    """Returns a proxy before a node that answers."""
+async def proxy() -> AsyncIterator[DroppingProxy]:
+    """Yields a proxy in front of a node."""
     address = free_address()
-    server = PeerServer(answer, "b#1")
+    server = PeerServer(reply_to_ask_latest, "b#1")
     await server.start(address)
-    made = SilentProxy(address)
-    await made.start()
-    yield made
-    made.stop()
+    started = DroppingProxy(address)
+    await started.start()
+    yield started
+    started.stop()
     await server.stop()
 
 
-class TestSilence:
-    async def test_a_stream_that_hangs_is_opened_anew(
-        self, proxy: SilentProxy
+class TestUnresponsiveStreams:
+    async def test_a_stream_without_replies_is_reopened(
+        self, proxy: DroppingProxy
     ) -> None:
         links = PeerLinks("a#1")
         assert await links.call(proxy.address, AskLatest(), 1.0) == Latest(7)
-        proxy.fall_silent()
+        proxy.drop_open_connections()
         with pytest.raises(PeerError):
             await links.call(proxy.address, AskLatest(), 3.0)
         assert await links.call(proxy.address, AskLatest(), 2.0) == Latest(7)
         await links.close()
 
-    async def test_a_stream_at_rest_is_left_alone(
-        self, proxy: SilentProxy
+    async def test_an_idle_stream_is_not_reopened(
+        self, proxy: DroppingProxy
     ) -> None:
         links = PeerLinks("a#1")
         await links.call(proxy.address, AskLatest(), 1.0)
         await asyncio.sleep(1.5)
-        assert proxy._opened == 1
+        assert proxy._accepted == 1
         await links.close()
 
 
 class TestBodies:
     @pytest.mark.parametrize("count", [1, 100])
-    def test_a_body_comes_back_as_it_was(self, count: int) -> None:
-        named = {f"base/a{number}": 1 for number in range(count)}
-        question = WatchFleet(3, 4, 0.5, used=named)
-        assert decode_body(encode_body(question)) == question
+    def test_encoded_body_decodes_to_the_same_message(self, count: int) -> None:
+        usage = {f"base/a{number}": 1 for number in range(count)}
+        message_sent = WatchFleet(3, 4, 0.5, used=usage)
+        assert decode_body(encode_body(message_sent)) == message_sent
 
     def test_a_large_body_is_compressed(self) -> None:
-        named = {f"base/a{number}": 1 for number in range(100)}
-        question = WatchFleet(3, 4, 0.5, used=named)
-        assert len(encode_body(question)) < len(codec.encode(question)) / 2
+        usage = {f"base/a{number}": 1 for number in range(100)}
+        message_sent = WatchFleet(3, 4, 0.5, used=usage)
+        assert (
+            len(encode_body(message_sent)) < len(codec.encode(message_sent)) / 2
+        )
 
     def test_a_damaged_body_is_an_error(self) -> None:
         with pytest.raises(codec.DecodeError, match="damaged"):
@@ -130,20 +132,25 @@
 
 
 class TestTraffic:
-    async def test_what_is_sent_counts_by_its_kind(self) -> None:
-        near, far = free_address(), free_address()
-        servers = [PeerServer(answer, "b#1"), PeerServer(answer, "c#1")]
-        for server, address in zip(servers, (near, far), strict=True):
+    async def test_sent_messages_are_counted_by_kind(self) -> None:
+        near_address, far_address = free_address(), free_address()
+        servers = [
+            PeerServer(reply_to_ask_latest, "b#1"),
+            PeerServer(reply_to_ask_latest, "c#1"),
+        ]
+        for server, address in zip(
+            servers, (near_address, far_address), strict=True
+        ):
             await server.start(address)
         links = PeerLinks("a#1")
-        links.traffic.is_far = lambda peer: peer == far
-        await links.call(near, AskLatest(), 1.0)
-        await links.call(far, AskLatest(), 1.0)
-        asked = links.traffic.kinds["AskLatest"]
-        assert asked.messages == 2
-        assert 0 < asked.far_bytes < asked.bytes
-        told = servers[0]._traffic.kinds["Latest"]
-        assert (told.messages, told.far_bytes) == (1, 0)
+        links.traffic.is_far = lambda peer: peer == far_address
+        await links.call(near_address, AskLatest(), 1.0)
+        await links.call(far_address, AskLatest(), 1.0)
+        sent_calls = links.traffic.kinds["AskLatest"]
+        assert sent_calls.messages == 2
+        assert 0 < sent_calls.far_bytes < sent_calls.bytes
+        sent_replies = servers[0]._traffic.kinds["Latest"]
+        assert (sent_replies.messages, sent_replies.far_bytes) == (1, 0)
         await links.close()
         for server in servers:
             await server.stop()
--- a/testing/adapters/test_tls.py
+++ b/testing/adapters/test_tls.py
@@ -1,4 +1,4 @@
-"""Tests of mutual TLS between nodes, on real processes and sockets."""
+"""Tests of mutual TLS between nodes, with real sockets and processes."""
 
 import signal
 import ssl
@@ -19,27 +19,27 @@
 
 
 @attrs.define
-class Keys:
-    """An authority and the files of one node."""
+class NodeKeys:
+    """A certificate authority and the key files of one node."""
 
     authority: trustme.CA
     folder: Path
 
-    def write(self, names: tuple[str, ...] = ("127.0.0.1",)) -> None:
-        """Issues a certificate and writes all files."""
-        issued = self.authority.issue_cert(*names)
+    def write(self, host_names: tuple[str, ...] = ("127.0.0.1",)) -> None:
+        """Issues a certificate for the names and writes all files."""
+        issued = self.authority.issue_cert(*host_names)
         issued.private_key_pem.write_to_path(self.folder / "key.pem")
         chain = b"".join(blob.bytes() for blob in issued.cert_chain_pems)
         (self.folder / "cert.pem").write_bytes(chain)
         self.authority.cert_pem.write_to_path(self.folder / "ca.pem")
 
     def open(self) -> PeerTls:
-        """Returns contexts made from the files."""
+        """Returns TLS contexts that use the files."""
         paths = [self.folder / f"{n}.pem" for n in ("cert", "key", "ca")]
         return PeerTls(*map(str, paths))
 
     def settings(self) -> dict[str, Any]:
-        """Returns the settings' section."""
+        """Returns the `tls` section of a node's settings."""
         return {
             "certificate": self.folder / "cert.pem",
             "key": self.folder / "key.pem",
@@ -47,19 +47,19 @@
         }
 
 
-def make_keys(folder: Path, name: str = "keys") -> Keys:
-    """Returns keys under a new authority."""
+def make_node_keys(folder: Path, name: str = "keys") -> NodeKeys:
+    """Returns the keys of a node under a new authority."""
     target = folder / name
     target.mkdir()
-    keys = Keys(trustme.CA(), target)
+    keys = NodeKeys(trustme.CA(), target)
     keys.write()
     return keys
 
 
-async def ask(
+async def call_over_tls(
     server: PeerTls, client: ssl.SSLContext | None
 ) -> ProposeReply | PeerError:
-    """Returns what a client gets from a server over TLS, or its error."""
+    """Returns the server's reply to a client's call, or the client's error."""
 
     async def handle(sender: str, message: Any) -> ProposeReply:
         return ProposeReply(b"", "leader", False)
@@ -78,46 +78,48 @@
 
 
 class TestPeerTls:
-    async def test_both_sides_with_certificates_talk(
-        self, tmp_path: Path
-    ) -> None:
-        tls = make_keys(tmp_path).open()
-        assert isinstance(await ask(tls, tls.client), ProposeReply)
+    async def test_nodes_of_one_authority_connect(self, tmp_path: Path) -> None:
+        tls = make_node_keys(tmp_path).open()
+        assert isinstance(await call_over_tls(tls, tls.client), ProposeReply)
 
     async def test_a_plain_connection_is_refused(self, tmp_path: Path) -> None:
-        tls = make_keys(tmp_path).open()
-        assert isinstance(await ask(tls, None), PeerError)
+        tls = make_node_keys(tmp_path).open()
+        assert isinstance(await call_over_tls(tls, None), PeerError)
 
     async def test_a_client_of_another_authority_is_refused(
         self, tmp_path: Path
     ) -> None:
-        tls = make_keys(tmp_path).open()
-        other = make_keys(tmp_path, "other").open()
-        assert isinstance(await ask(tls, other.client), PeerError)
+        tls = make_node_keys(tmp_path).open()
+        other = make_node_keys(tmp_path, "other").open()
+        assert isinstance(await call_over_tls(tls, other.client), PeerError)
 
     async def test_a_client_without_certificate_is_refused(
         self, tmp_path: Path
     ) -> None:
-        keys = make_keys(tmp_path)
-        bare = ssl.create_default_context(cafile=str(keys.folder / "ca.pem"))
-        bare.check_hostname = False
-        bare.set_alpn_protocols(["h2"])
-        assert isinstance(await ask(keys.open(), bare), PeerError)
+        keys = make_node_keys(tmp_path)
+        anonymous = ssl.create_default_context(
+            cafile=str(keys.folder / "ca.pem")
+        )
+        anonymous.check_hostname = False
+        anonymous.set_alpn_protocols(["h2"])
+        assert isinstance(
+            await call_over_tls(keys.open(), anonymous), PeerError
+        )
 
     async def test_a_reloaded_certificate_is_used(self, tmp_path: Path) -> None:
-        keys = make_keys(tmp_path)
+        keys = make_node_keys(tmp_path)
         tls = keys.open()
         keys.write(("127.0.0.2",))
         tls.reload()
-        assert isinstance(await ask(tls, tls.client), ProposeReply)
+        assert isinstance(await call_over_tls(tls, tls.client), ProposeReply)
 
 
 @pytest.mark.process
 class TestNodesOverTls:
-    def test_they_serve_and_new_keys_drop_no_stream(
+    def test_reloaded_keys_do_not_interrupt_streams(
         self, tmp_path: Path
     ) -> None:
-        keys = make_keys(tmp_path)
+        keys = make_node_keys(tmp_path)
         deployment = make_small(tmp_path, {"tls": keys.settings()})
         with deployed(deployment):
             configure(deployment)
