--- a/src/ridgesill/adapters/configuration_ini.py
+++ b/src/ridgesill/adapters/configuration_ini.py
@@ -1,4 +1,4 @@
-"""Reads an operators' configuration file (INI)."""
+"""Reads the operators' configuration from an INI file."""
 
 import hashlib
 
@@ -22,32 +22,46 @@
 )
 from ridgesill.core.declaration import Declaration, find_mistakes
 
-_KINDS = ("data-centre", "team", "service", "adapter")
+_SECTION_KINDS = ("data-centre", "team", "service", "adapter")
 
 
 def read_configuration(path: str) -> Declaration:
-    """Returns what a file declares.
+    """Returns the configuration that a file declares.
+
+    Args:
+        path: the file's path.
 
     Raises:
-        IniError: something is wrong; it lists everything that is.
+        IniError: the file is invalid; lists all errors.
     """
     return parse_configuration(IniReader.open(path))
 
 
 def parse_configuration(reader: IniReader) -> Declaration:
-    """Returns what a reader's text declares, or raises `IniError`."""
+    """Returns the configuration that a reader's text declares.
+
+    Args:
+        reader: the reader of the file; collects the errors.
+
+    Raises:
+        IniError: the text is invalid; lists all errors.
+    """
     if not reader.parser.has_section("configuration"):
         reader.report("configuration", "version", "the section is missing")
         reader.finish()
-    named = _sections_by_kind(reader)
+    names_by_kind = _group_sections(reader)
     declared = Declaration(
         reader.value("configuration", "version", to_integer(1, 2**53)),
         _digest(reader),
         reader.value("configuration", "based_on", to_integer(0, 2**53), -1),
-        tuple(_data_centre(reader, n) for n in named["data-centre"]),
-        tuple(_team(reader, n) for n in named["team"]),
-        tuple(_service(reader, n) for n in named["service"]),
-        group_adapters((n, _adapter(reader, n)) for n in named["adapter"]),
+        tuple(
+            _read_data_centre(reader, n) for n in names_by_kind["data-centre"]
+        ),
+        tuple(_read_team(reader, n) for n in names_by_kind["team"]),
+        tuple(_read_service(reader, n) for n in names_by_kind["service"]),
+        group_adapters(
+            (n, _read_adapter(reader, n)) for n in names_by_kind["adapter"]
+        ),
     )
     reader.check_keys("configuration", {"version", "based_on"})
     _report_mistakes(reader, declared)
@@ -56,14 +70,17 @@
 
 
 def _report_mistakes(reader: IniReader, declared: Declaration) -> None:
-    known = {(problem.section, problem.key) for problem in reader.problems}
+    reported_keys = {
+        (problem.section, problem.key) for problem in reader.problems
+    }
     for mistake in find_mistakes(declared):
-        if (mistake.section, mistake.key) not in known:
+        if (mistake.section, mistake.key) not in reported_keys:
             reader.report(mistake.section, mistake.key, mistake.expected)
 
 
 def _digest(reader: IniReader) -> str:
-    # Of the parsed content: comments and spacing don't make a new file.
+    # Computed from the parsed content, so that changes of comments or spacing
+    # keep the digest.
     digest = hashlib.sha256()
     for section in reader.sections():
         digest.update(f"[{section}]\n".encode())
@@ -72,30 +89,30 @@
     return digest.hexdigest()[:32]
 
 
-def _sections_by_kind(reader: IniReader) -> dict[str, list[str]]:
-    named: dict[str, list[str]] = {kind: [] for kind in _KINDS}
+def _group_sections(reader: IniReader) -> dict[str, list[str]]:
+    names_by_kind: dict[str, list[str]] = {kind: [] for kind in _SECTION_KINDS}
     for section in reader.sections():
         kind, _, name = section.partition(" ")
         if section == "configuration":
             continue
-        if kind not in named or not name:
-            kinds = ", ".join(f"[{k} NAME]" for k in _KINDS)
+        if kind not in names_by_kind or not name:
+            kinds = ", ".join(f"[{k} NAME]" for k in _SECTION_KINDS)
             reader.report(section, "", f"expected [configuration] or {kinds}")
             continue
         try:
-            named[kind].append(to_name(name))
+            names_by_kind[kind].append(to_name(name))
         except ValueError as error:
             reader.report(section, "", str(error))
-    return named
+    return names_by_kind
 
 
-def _data_centre(reader: IniReader, name: str) -> DataCentre:
+def _read_data_centre(reader: IniReader, name: str) -> DataCentre:
     section = f"data-centre {name}"
     reader.check_keys(section, {"region"})
     return DataCentre(name, reader.value(section, "region", to_name))
 
 
-def _team(reader: IniReader, name: str) -> Team:
+def _read_team(reader: IniReader, name: str) -> Team:
     section = f"team {name}"
     reader.check_keys(section, {"weight", "places"})
     return Team(
@@ -105,7 +122,7 @@
     )
 
 
-def _service(reader: IniReader, name: str) -> Service:
+def _read_service(reader: IniReader, name: str) -> Service:
     section = f"service {name}"
     default = Service(name)
     reader.check_keys(
@@ -141,7 +158,7 @@
     )
 
 
-def _adapter(reader: IniReader, name: str) -> Adapter:
+def _read_adapter(reader: IniReader, name: str) -> Adapter:
     section = f"adapter {name}"
     reader.check_keys(section, {"team", "service", "versions", "places"})
     return Adapter(
--- a/src/ridgesill/adapters/file_log.py
+++ b/src/ridgesill/adapters/file_log.py
@@ -1,10 +1,11 @@
-"""A replica's log in files under the data folder.
-
-`log` holds records of a header (length, checksum of the body, checksum of the
-header itself) and a body. `snapshot` holds one such record. `identity` names
-the voter. A short last record was never acknowledged and is cut off; anything
-else that doesn't match its checksum stops the process, which then says what
-to do, since a voter must not forget what it has acknowledged.
+"""A replica's log, stored in files in the data folder.
+
+The file `log` holds records, each with a header (length, checksum of the body,
+checksum of the header) and a body. `snapshot` holds one such record, and
+`identity` the voter's identity. An incomplete last record was never
+acknowledged and is truncated. Any other checksum mismatch raises
+`StorageError`, which stops the process: a voter must not lose entries that it
+has acknowledged.
 """
 
 import io
@@ -34,7 +35,12 @@
 
 
 class StorageError(Exception):
-    """A data folder that must not be used as it is."""
+    """The data folder is corrupt or already holds a log.
+
+    Attributes:
+        path: the file.
+        offset: byte offset of the error in the file.
+    """
 
     def __init__(self, path: Path, offset: int, detail: str) -> None:
         super().__init__(
@@ -56,8 +62,11 @@
     """Implements `ports.storage.Storage`.
 
     Args:
-        folder: the data folder; made if missing.
-        sync: makes a file's data durable; replaced in measurements.
+        folder: the data folder; created if missing.
+        sync: flushes a file descriptor's data to disk; benchmarks replace it.
+
+    Attributes:
+        identity: the voter's identity; empty if the folder holds no log.
     """
 
     def __init__(self, folder: Path, sync: Any = os.fdatasync) -> None:
@@ -65,31 +74,46 @@
         self._folder = folder
         self._sync = sync
         self._file: io.FileIO | None = None
-        self._length = 0
+        self._size_bytes = 0
         self.identity = self._read_identity()
 
-    def found(self, identity: str, snapshot: Snapshot) -> None:
-        """Makes an empty folder the start of a new log.
+    def initialize(self, identity: str, snapshot: Snapshot) -> None:
+        """Creates a new log in an empty folder.
+
+        Args:
+            identity: the voter's identity.
+            snapshot: the initial snapshot.
 
         Raises:
-            StorageError: the folder holds a log already.
+            StorageError: the folder already holds a log.
         """
         if self.identity:
             raise StorageError(
-                self._folder / _IDENTITY, 0, "a log was founded here before"
+                self._folder / _IDENTITY, 0, "the folder already holds a log"
             )
-        self._write_file(_SNAPSHOT, _frame(codec.encode(snapshot)))
+        self._write_file(_SNAPSHOT, _encode_record(codec.encode(snapshot)))
         self._write_file(_LOG, b"")
         self._write_file(_IDENTITY, identity.encode())
         self.identity = identity
 
-    def join(self, name: str) -> None:
-        """Gives an empty folder a fresh identity, to be made a voter of."""
+    def initialize_with_new_identity(self, name: str) -> None:
+        """Creates an empty log under a new identity for a joining node.
+
+        Args:
+            name: the node's name, the first part of the identity.
+
+        Raises:
+            StorageError: the folder already holds a log.
+        """
         identity = f"{name}.{secrets.token_hex(4)}"
-        self.found(identity, Snapshot(0, 0, Voters(()), b""))
+        self.initialize(identity, Snapshot(0, 0, Voters(()), b""))
 
     def load(self) -> StoredLog:
-        """Returns what the files hold and opens the log for appending."""
+        """Reads the stored log and opens it for appending.
+
+        Raises:
+            StorageError: a file is corrupt.
+        """
         snapshot = self._load_snapshot()
         hard_state = HardState()
         entries: list[Entry] = []
@@ -99,33 +123,42 @@
             else:
                 append_truncating(entries, record.value)
         self._open_log()
-        kept = tuple(e for e in entries if e.index > snapshot.index)
-        return StoredLog(hard_state, kept, snapshot)
+        uncovered = tuple(e for e in entries if e.index > snapshot.index)
+        return StoredLog(hard_state, uncovered, snapshot)
 
     def append(
         self, hard_state: HardState | None, entries: list[Entry]
     ) -> None:
-        """Adds records and syncs them."""
-        frames = [_frame(codec.encode(entry)) for entry in entries]
+        """Appends records and syncs them to disk.
+
+        Does nothing before `load` has opened the log.
+
+        Raises:
+            OSError: the write failed; the file is truncated to its previous
+                size.
+        """
+        encoded_records = [
+            _encode_record(codec.encode(entry)) for entry in entries
+        ]
         if hard_state is not None:
-            frames.insert(0, _frame(codec.encode(hard_state)))
-        if not frames or self._file is None:
+            encoded_records.insert(0, _encode_record(codec.encode(hard_state)))
+        if not encoded_records or self._file is None:
             return
-        data = b"".join(frames)
+        data = b"".join(encoded_records)
         try:
             self._write_all(data)
             self._sync(self._file.fileno())
         except OSError:
-            # What was written of it must not stand before the next try.
-            os.ftruncate(self._file.fileno(), self._length)
+            # A partly written record must not precede the next append.
+            os.ftruncate(self._file.fileno(), self._size_bytes)
             raise
-        self._length += len(data)
+        self._size_bytes += len(data)
 
     def _write_all(self, data: bytes) -> None:
         assert self._file is not None
-        rest = memoryview(data)
-        while rest:
-            rest = rest[self._file.write(rest) :]
+        unwritten = memoryview(data)
+        while unwritten:
+            unwritten = unwritten[self._file.write(unwritten) :]
 
     def replace(
         self,
@@ -135,24 +168,27 @@
     ) -> None:
         """Stores a snapshot, then a log that starts after it.
 
-        A kill between the two leaves an old log beside a new snapshot, which
-        `load` reads rightly: what the snapshot covers is passed over.
+        If the process is killed between the two writes, the old log remains
+        beside the new snapshot. `load` handles that: it skips the entries
+        that the snapshot covers.
         """
-        self._write_file(_SNAPSHOT, _frame(codec.encode(snapshot)))
-        frames = [_frame(codec.encode(hard_state))]
-        frames += [_frame(codec.encode(entry)) for entry in entries]
-        self._write_file(_LOG, b"".join(frames))
+        self._write_file(_SNAPSHOT, _encode_record(codec.encode(snapshot)))
+        encoded_records = [_encode_record(codec.encode(hard_state))]
+        encoded_records += [
+            _encode_record(codec.encode(entry)) for entry in entries
+        ]
+        self._write_file(_LOG, b"".join(encoded_records))
         if self._file is not None:
             self._file.close()
         self._open_log()
 
     def _open_log(self) -> None:
-        # Unbuffered, so that a failed write leaves nothing behind here.
+        # Unbuffered, so that no data of a failed write is written later.
         self._file = (self._folder / _LOG).open("ab", buffering=0)
-        self._length = (self._folder / _LOG).stat().st_size
+        self._size_bytes = (self._folder / _LOG).stat().st_size
 
     def close(self) -> None:
-        """Closes the log."""
+        """Closes the log file."""
         if self._file is not None:
             self._file.close()
             self._file = None
@@ -166,14 +202,14 @@
         data = path.read_bytes()
         records = _read_records(path, data)
         if len(records) != 1:
-            raise StorageError(path, 0, "no whole snapshot")
+            raise StorageError(path, 0, "expected one complete snapshot record")
         return records[0].value
 
     def _read_log(self) -> list[_Record]:
         path = self._folder / _LOG
         data = path.read_bytes()
         records = _read_records(path, data)
-        end = _end_of(data)
+        end = _find_end(data)
         if end < len(data):
             with path.open("r+b") as file:
                 file.truncate(end)
@@ -195,11 +231,11 @@
 
 
 def _open_private(path: str, flags: int) -> int:
-    """Opens a file that only its owner can read."""
+    """Opens a file with access for its owner only."""
     return os.open(path, flags, 0o600)
 
 
-def _frame(body: bytes) -> bytes:
+def _encode_record(body: bytes) -> bytes:
     start = struct.pack("<II", len(body), zlib.crc32(body))
     return start + struct.pack("<I", zlib.crc32(start)) + body
 
@@ -207,7 +243,7 @@
 def _read_records(path: Path, data: bytes) -> list[_Record]:
     records = []
     offset = 0
-    end = _end_of(data, path)
+    end = _find_end(data, path)
     while offset < end:
         length, _, _ = _HEADER.unpack_from(data, offset)
         start = offset + _HEADER.size
@@ -224,20 +260,24 @@
         raise StorageError(path, offset, str(error)) from error
 
 
-def _end_of(data: bytes, path: Path = Path()) -> int:
-    """Returns where the whole records end; checks them on the way."""
+def _find_end(data: bytes, path: Path = Path()) -> int:
+    """Returns the offset after the last complete record.
+
+    Raises:
+        StorageError: a checksum doesn't match.
+    """
     offset = 0
     while offset + _HEADER.size <= len(data):
-        length, checksum, own = _HEADER.unpack_from(data, offset)
-        if zlib.crc32(data[offset : offset + 8]) != own:
+        length, checksum, header_checksum = _HEADER.unpack_from(data, offset)
+        if zlib.crc32(data[offset : offset + 8]) != header_checksum:
             if not any(data[offset:]):
-                # Space that a crash left allocated but never written.
+                # Space allocated before a crash but never written.
                 return offset
             raise StorageError(path, offset, "a record's header is corrupt")
-        stop = offset + _HEADER.size + length
-        if stop > len(data):
+        body_end = offset + _HEADER.size + length
+        if body_end > len(data):
             return offset
-        if zlib.crc32(data[offset + _HEADER.size : stop]) != checksum:
+        if zlib.crc32(data[offset + _HEADER.size : body_end]) != checksum:
             raise StorageError(path, offset, "a record's body is corrupt")
-        offset = stop
+        offset = body_end
     return offset
--- a/src/ridgesill/adapters/http1/server.py
+++ b/src/ridgesill/adapters/http1/server.py
@@ -1,7 +1,8 @@
-"""An HTTP/1.1 listener on the event loop; each request runs as a task.
+"""An HTTP/1.1 server on the event loop; each request runs as a task.
 
-The client's socket is read all the time. When the client leaves, the task
-that serves its request is cancelled, which ends the upstream's work too.
+The client's socket is read while its request is served. When the client
+disconnects, the task that serves its request is cancelled, which also cancels
+the request to the upstream.
 """
 
 import asyncio
@@ -17,22 +18,22 @@
 
 Handler = Callable[[HttpRequest, Responder], Awaitable[None]]
 
-# Bytes of an answer that may wait for a slow client before the task does.
+# Response bytes buffered for a slow client before the handler has to wait.
 _WRITE_BUFFER_BYTES = 256 * 1024
-_BACKLOG = 1024
-# How often idle and slow channels are looked for, in seconds.
-_SWEEP_SECONDS = 0.5
+_BACKLOG_CONNECTIONS = 1024
+# Interval at which connections are checked for timeouts.
+_TIMEOUT_CHECK_SECONDS = 0.5
 
 
 class _BodyTooLargeError(Exception):
-    """A request's body that is over the limit."""
+    """A request body is larger than the limit."""
 
 
 class ServerConnection(asyncio.Protocol):
-    """One client's channel.
+    """A connection from a client.
 
     Args:
-        listener: what the channel belongs to.
+        listener: the listener that accepted the connection.
     """
 
     def __init__(self, listener: "HttpListener") -> None:
@@ -45,19 +46,20 @@
         self._transport: asyncio.Transport | None = None
         self._peer = ""
         self._head: h11.Request | None = None
-        self._head_at = 0.0
+        self._head_received_at = 0.0
         self._body: list[bytes] = []
         self._body_bytes = 0
         self._task: asyncio.Task[None] | None = None
         self._writable: asyncio.Future[None] | None = None
-        self._since = self._loop.time()
+        # When the current request or the current idle time began.
+        self._period_started_at = self._loop.time()
         self._receiving = False
-        self._lost = False
+        self._is_closed = False
 
-    # -- the transport's calls -----------------------------------------
+    # -- asyncio.Protocol callbacks ------------------------------------
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Notes the new channel."""
+        """Stores the transport and registers with the listener."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         transport.set_write_buffer_limits(high=_WRITE_BUFFER_BYTES)
@@ -66,23 +68,23 @@
         self._listener.connections.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Ends the request in progress: its client is gone."""
-        self._lost = True
+        """Cancels the request in progress: its client has disconnected."""
+        self._is_closed = True
         self._listener.connections.discard(self)
         self._wake_writer()
         if self._task is not None:
             self._task.cancel()
 
     def eof_received(self) -> bool:
-        """Closes the channel: a client that stops sending has left."""
+        """Closes the connection: half-closed clients count as disconnected."""
         return False
 
     def pause_writing(self) -> None:
-        """Makes `drain` wait."""
+        """Makes `drain` wait: the write buffer is full."""
         self._writable = self._loop.create_future()
 
     def resume_writing(self) -> None:
-        """Lets `drain` go on."""
+        """Lets `drain` return: the write buffer has room again."""
         self._wake_writer()
 
     def _wake_writer(self) -> None:
@@ -91,42 +93,42 @@
         self._writable = None
 
     def data_received(self, data: bytes) -> None:
-        """Takes bytes of a request."""
+        """Parses bytes of a request."""
         if not self._receiving and self._task is None:
-            self._since = self._loop.time()
+            self._period_started_at = self._loop.time()
             self._receiving = True
-        self._advance(data)
+        self._process(data)
 
-    def _advance(self, data: bytes = b"") -> None:
-        """Takes what has come, or rejects it."""
+    def _process(self, data: bytes = b"") -> None:
+        """Parses received bytes; rejects malformed or oversized requests."""
         try:
             if data:
                 self._http.receive_data(data)
-            self._take_events()
+            self._process_events()
         except h11.RemoteProtocolError as error:
             self._reject(error.error_status_hint, str(error))
         except _BodyTooLargeError:
-            self._reject(413, "the body is over the limit")
+            self._reject(413, "the request body is larger than the limit")
 
-    def _take_events(self) -> None:
-        while self._task is None and not self._lost:
+    def _process_events(self) -> None:
+        while self._task is None and not self._is_closed:
             event = self._http.next_event()
             if event is h11.NEED_DATA:
-                self._answer_expectation()
+                self._send_continue()
                 return
             if event is h11.PAUSED or isinstance(event, h11.ConnectionClosed):
                 return
-            self._take_event(event)
+            self._process_event(event)
 
-    def _answer_expectation(self) -> None:
+    def _send_continue(self) -> None:
         if self._http.they_are_waiting_for_100_continue:
-            go_on = h11.InformationalResponse(status_code=100, headers=[])
-            self._write(self._http.send(go_on))
+            interim = h11.InformationalResponse(status_code=100, headers=[])
+            self._write(self._http.send(interim))
 
-    def _take_event(self, event: Any) -> None:
+    def _process_event(self, event: Any) -> None:
         if isinstance(event, h11.Request):
             self._head = event
-            self._head_at = self._loop.time()
+            self._head_received_at = self._loop.time()
             self._body = []
             self._body_bytes = 0
         elif isinstance(event, h11.Data):
@@ -135,11 +137,11 @@
                 raise _BodyTooLargeError
             self._body.append(bytes(event.data))
         elif isinstance(event, h11.EndOfMessage):
-            self._begin()
+            self._start_request()
 
     # -- serving -------------------------------------------------------
 
-    def _begin(self) -> None:
+    def _start_request(self) -> None:
         head = self._head
         assert head is not None
         self._head = None
@@ -149,7 +151,7 @@
             head.target,
             tuple(head.headers),
             b"".join(self._body),
-            self._head_at,
+            self._head_received_at,
             self._peer,
         )
         self._body = []
@@ -160,20 +162,20 @@
         try:
             await self._listener.handler(request, responder)
         except asyncio.CancelledError:
-            if not self._lost:
+            if not self._is_closed:
                 self._close()
             raise
-        except Exception:  # noqa: BLE001 - one request's fault ends only it
+        except Exception:  # noqa: BLE001 - an error must not end the process
             write_traceback()
-            self._fail(responder)
+            self._send_failure(responder)
         finally:
             self._task = None
-            self._since = self._loop.time()
-        if not self._lost:
-            self._go_on()
+            self._period_started_at = self._loop.time()
+        if not self._is_closed:
+            self._start_next_cycle()
 
-    def _fail(self, responder: Responder) -> None:
-        if self._lost:
+    def _send_failure(self, responder: Responder) -> None:
+        if self._is_closed:
             return
         if responder.started:
             responder.abort()
@@ -181,26 +183,27 @@
         responder.send_head(502, ((b"content-length", b"0"),))
         responder.finish()
 
-    def _go_on(self) -> None:
+    def _start_next_cycle(self) -> None:
         http = self._http
         reusable = http.our_state is h11.DONE and http.their_state is h11.DONE
-        if not reusable or self._is_to_end():
+        if not reusable or self._must_close():
             self._close()
             return
         http.start_next_cycle()
         if http.trailing_data[0]:
             self._receiving = True
-        self._advance()
+        self._process()
 
-    def _is_to_end(self) -> bool:
-        """Whether the channel ends although its last answer didn't say so.
+    def _must_close(self) -> bool:
+        """Whether to close a connection after its response while draining.
 
-        That answer began before the listener drained, and its client would go
-        on sending requests here until the process is gone. One that is here
-        already is still answered: to close over it would reset the channel
-        and take the last answer's end away.
+        The response may have started before draining, without asking the
+        client to close, and the client would send more requests until the
+        process exits. A request that has already arrived is still served:
+        closing with unread data would reset the connection and could truncate
+        the last response.
         """
-        return self.closing and not self._http.trailing_data[0]
+        return self.draining and not self._http.trailing_data[0]
 
     def _reject(self, status: int, detail: str) -> None:
         log_message(
@@ -218,25 +221,25 @@
             self._write(self._http.send(head))
         self._close()
 
-    # -- what the responder uses ---------------------------------------
+    # -- used by the responder -----------------------------------------
 
     @property
-    def closing(self) -> bool:
-        """Whether answers should ask the client to close the channel."""
-        return self._listener.closing
+    def draining(self) -> bool:
+        """Whether responses should ask the client to close the connection."""
+        return self._listener.draining
 
     def send(self, event: h11.Event) -> None:
-        """Writes an event of the answer; nothing to a client that left."""
-        if not self._lost:
+        """Writes a part of the response, unless the client disconnected."""
+        if not self._is_closed:
             self._write(self._http.send(event))
 
     async def drain(self) -> None:
-        """Waits for a client that reads slowly."""
+        """Waits until the write buffer has room."""
         if self._writable is not None:
             await self._writable
 
     def abort(self) -> None:
-        """Closes the channel at once, without the rest of an answer."""
+        """Closes the connection at once and drops unsent response bytes."""
         if self._transport is not None:
             self._transport.abort()
 
@@ -248,22 +251,26 @@
         if self._transport is not None:
             self._transport.close()
 
-    # -- time ----------------------------------------------------------
+    # -- timeouts ------------------------------------------------------
 
-    def sweep(self, now: float) -> None:
-        """Ends a channel whose client keeps quiet for too long."""
+    def check_timeouts(self, now: float) -> None:
+        """Closes the connection if its client is idle or too slow.
+
+        Args:
+            now: event loop time in seconds.
+        """
         if self._task is not None:
             return
         limits = self._listener.limits
-        quiet = now - self._since
+        elapsed_seconds = now - self._period_started_at
         if self._receiving and self._head is None:
-            if quiet > limits.header_seconds:
-                self._reject(408, "the head did not arrive in time")
-        elif quiet > limits.idle_seconds:
+            if elapsed_seconds > limits.header_seconds:
+                self._reject(408, "the request head did not arrive in time")
+        elif elapsed_seconds > limits.idle_seconds:
             self._close()
 
     def close_if_idle(self) -> None:
-        """Ends a channel on which no request is in progress."""
+        """Closes the connection unless a request is in progress."""
         if self._task is None and not self._receiving:
             self._close()
 
@@ -282,11 +289,13 @@
         self, status: int, headers: Headers, reason: bytes = b""
     ) -> None:
         self.started = True
-        sent = list(headers)
-        if self._connection.closing:
-            sent.append((b"connection", b"close"))
+        sent_headers = list(headers)
+        if self._connection.draining:
+            sent_headers.append((b"connection", b"close"))
         self._connection.send(
-            h11.Response(status_code=status, headers=sent, reason=reason)
+            h11.Response(
+                status_code=status, headers=sent_headers, reason=reason
+            )
         )
 
     def send_data(self, data: bytes) -> None:
@@ -303,12 +312,16 @@
 
 
 class HttpListener:
-    """Accepts clients on an address.
+    """Listens on an address and serves the connections it accepts.
 
     Args:
         address: `host:port`.
         handler: serves each request.
-        limits: of each channel; may be replaced while it runs.
+        limits: limits of each connection; may be replaced at runtime.
+
+    Attributes:
+        connections: all open connections.
+        draining: whether connections close after their next response.
     """
 
     def __init__(
@@ -320,46 +333,46 @@
         self.handler = handler
         self.limits = limits or ClientLimits()
         self.connections: set[ServerConnection] = set()
-        self.closing = False
+        self.draining = False
         self._address = address
         self._server: asyncio.Server | None = None
-        self._sweeper: asyncio.Task[None] | None = None
+        self._timeout_task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Begins to accept."""
+        """Starts to accept connections."""
         host, port = split_address(self._address)
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
             lambda: ServerConnection(self),
             host,
             port,
-            backlog=_BACKLOG,
+            backlog=_BACKLOG_CONNECTIONS,
             reuse_address=True,
         )
-        self._sweeper = loop.create_task(self._sweep())
+        self._timeout_task = loop.create_task(self._check_timeouts())
 
-    async def _sweep(self) -> None:
+    async def _check_timeouts(self) -> None:
         loop = asyncio.get_running_loop()
         while True:
-            await asyncio.sleep(_SWEEP_SECONDS)
+            await asyncio.sleep(_TIMEOUT_CHECK_SECONDS)
             now = loop.time()
             for connection in list(self.connections):
-                connection.sweep(now)
+                connection.check_timeouts(now)
 
     def close(self) -> None:
-        """Accepts no new channels; those that are open go on."""
+        """Stops accepting connections; open ones continue."""
         if self._server is not None:
             self._server.close()
 
     def drain(self) -> None:
-        """Asks clients to close their channels after their next answer."""
-        self.closing = True
+        """Makes clients close their connections after the next response."""
+        self.draining = True
 
     async def stop(self) -> None:
-        """Accepts no more and closes every channel."""
+        """Stops accepting connections and aborts open ones."""
         if self._server is not None:
             self._server.close()
-        if self._sweeper is not None:
-            self._sweeper.cancel()
+        if self._timeout_task is not None:
+            self._timeout_task.cancel()
         for connection in list(self.connections):
             connection.abort()
--- a/src/ridgesill/adapters/peer_rpc.py
+++ b/src/ridgesill/adapters/peer_rpc.py
@@ -1,4 +1,4 @@
-"""Messages between nodes over grpclib, one open stream to each peer."""
+"""Messages between nodes over gRPC, on one stream to each peer."""
 
 import asyncio
 import itertools
@@ -19,26 +19,28 @@
 from ridgesill.core.addresses import split_address
 from ridgesill.ports.peers import PeerError
 
-# A handler returns the reply to a call, or None to a message without one.
+# Takes the sender's identity and a message; returns the reply, or None if there
+# is none.
 Handler = Callable[[str, Any], Awaitable[Any]]
 
-_QUEUE = 1024
-_RECONNECT = 0.1
-# Within which a stream to a peer must come up, in seconds; a VM without power
-# says nothing, and the system alone would go on trying for minutes.
+_MAX_QUEUED_MESSAGES = 1024
+_RECONNECT_DELAY_SECONDS = 0.1
+# Timeout for opening a stream. A VM without power doesn't refuse connections,
+# and the kernel alone would keep trying for minutes.
 _CONNECT_SECONDS = 0.6
-# How often a stream in use is looked at, and after how long without any answer
-# it is given up, in seconds. A stream that a cut has held up would else hang
-# until the system sends again, which it does less and less often.
-_CHECK_SECONDS = 0.4
-_SILENT_SECONDS = 0.7
-# Bodies from this size on are compressed, in bytes: news to a front repeat the
-# names of fields and upstreams, and bytes between data centres are priced.
-_COMPRESS_FROM = 400
+# A stream on which messages were sent is pinged at this interval, and closed if
+# the ping isn't answered in time. Otherwise a stream interrupted by a network
+# partition would hang until TCP retransmits, at ever longer intervals.
+_PING_INTERVAL_SECONDS = 0.4
+_PING_TIMEOUT_SECONDS = 0.7
+# Bodies of at least this size are compressed, to reduce traffic between data
+# centres: updates to fronts repeat the names of fields and upstreams.
+_COMPRESS_MIN_BYTES = 400
 _COMPRESS_LEVEL = 1
-# How a compressed body begins; an encoded message is an array of two.
-_COMPRESSED = b"\x78"
-_STREAM_ERRORS = (
+# First byte of a zlib stream. An uncompressed body starts differently: it is a
+# MessagePack array of two elements.
+_ZLIB_FIRST_BYTE = b"\x78"
+_CONNECTION_ERRORS = (
     OSError,
     GRPCError,
     StreamTerminatedError,
@@ -47,20 +49,20 @@
 
 
 def encode_body(message: Any) -> bytes:
-    """Returns a message as the body of an envelope."""
+    """Encodes a message as the body of an envelope."""
     body = codec.encode(message)
-    if len(body) < _COMPRESS_FROM:
+    if len(body) < _COMPRESS_MIN_BYTES:
         return body
     return zlib.compress(body, _COMPRESS_LEVEL)
 
 
 def decode_body(body: bytes) -> Any:
-    """Returns the message in the body of an envelope.
+    """Decodes the message in the body of an envelope.
 
     Raises:
-        codec.DecodeError: it holds none.
+        codec.DecodeError: the body is damaged or holds no known message.
     """
-    if body.startswith(_COMPRESSED):
+    if body.startswith(_ZLIB_FIRST_BYTE):
         try:
             body = zlib.decompress(body)
         except zlib.error as error:
@@ -70,10 +72,12 @@
 
 @attrs.define
 class KindTraffic:
-    """What was sent of one kind of message.
+    """Number and size of the messages of one kind that were sent.
 
     Attributes:
-        far_bytes: of `bytes`, those to other data centres.
+        messages: number of messages.
+        bytes: total size of their envelopes.
+        far_bytes: the part of `bytes` sent to other data centres.
     """
 
     messages: int = 0
@@ -83,12 +87,13 @@
 
 @attrs.define
 class Traffic:
-    """Messages and bytes of a process, without HTTP/2's own overhead.
+    """Counts the messages and bytes of a process, without HTTP/2 overhead.
 
     Attributes:
-        kinds: what was sent, by kind of message; answers count by their own.
-        is_far: whether a peer, by address or identity, is in another data
-            centre.
+        kinds: sent traffic by class name of the message. A reply counts under
+            its own class.
+        is_far: tells whether a peer, given by address or identity, is in
+            another data centre.
     """
 
     messages_sent: int = 0
@@ -98,18 +103,18 @@
     kinds: dict[str, KindTraffic] = attrs.Factory(dict)
     is_far: Callable[[str], bool] = lambda _peer: False
 
-    def sent(self, envelope: Envelope) -> None:
-        """Counts a message that goes out."""
+    def record_sent(self, envelope: Envelope) -> None:
+        """Counts a sent envelope."""
         self.messages_sent += 1
         self.bytes_sent += envelope.ByteSize()
 
-    def received(self, envelope: Envelope) -> None:
-        """Counts a message that came in."""
+    def record_received(self, envelope: Envelope) -> None:
+        """Counts a received envelope."""
         self.messages_received += 1
         self.bytes_received += envelope.ByteSize()
 
-    def note_kind(self, message: Any, envelope: Envelope, peer: str) -> None:
-        """Counts a message by its kind."""
+    def record_kind(self, message: Any, envelope: Envelope, peer: str) -> None:
+        """Counts a sent message under its class name."""
         name = type(message).__name__
         kind = self.kinds.get(name)
         if kind is None:
@@ -122,7 +127,13 @@
 
 
 class PeerServer(PeerBase):
-    """Hands every message that arrives to a handler."""
+    """Receives messages from peers and passes them to a handler.
+
+    Args:
+        handler: called for each message; returns the reply, if any.
+        identity: this node, as name#incarnation.
+        traffic: counts messages; a new counter if None.
+    """
 
     def __init__(
         self, handler: Handler, identity: str, traffic: Traffic | None = None
@@ -135,23 +146,28 @@
     async def start(
         self, address: str, context: ssl.SSLContext | None = None
     ) -> None:
-        """Listens on an address."""
+        """Listens on an address.
+
+        Args:
+            address: `host:port`.
+            context: the TLS context; None for plain TCP.
+        """
         host, port = split_address(address)
         await self._server.start(host, port, ssl=context)
 
     async def stop(self) -> None:
-        """Closes the listener and all streams."""
+        """Closes the listening socket and all streams."""
         self._server.close()
         await self._server.wait_closed()
 
-    async def Exchange(  # noqa: N802 - the generated base names it so
+    async def Exchange(  # noqa: N802 - named by the generated base class
         self, stream: Stream[Envelope, Envelope]
     ) -> None:
-        """Serves one peer's stream."""
+        """Serves the stream of a peer until it ends."""
         tasks: set[asyncio.Task[None]] = set()
         try:
             async for envelope in stream:
-                self._traffic.received(envelope)
+                self._traffic.record_received(envelope)
                 task = asyncio.create_task(self._handle(stream, envelope))
                 tasks.add(task)
                 task.add_done_callback(tasks.discard)
@@ -168,18 +184,18 @@
             answer = await self._handler(envelope.sender, message)
             if answer is not None:
                 reply.body = encode_body(answer)
-                self._traffic.note_kind(answer, reply, envelope.sender)
+                self._traffic.record_kind(answer, reply, envelope.sender)
         except (codec.DecodeError, PeerError) as error:
             reply.error = str(error)
         if not envelope.call:
             return
         if not envelope.body:
-            # Only asks whether this stream works.
+            # A ping, which only tests the stream.
             reply.error = ""
         try:
-            self._traffic.sent(reply)
+            self._traffic.record_sent(reply)
             await stream.send_message(reply)
-        except _STREAM_ERRORS as error:
+        except _CONNECTION_ERRORS as error:
             log_message(
                 "peer:reply_lost", peer=envelope.sender, reason=str(error)
             )
@@ -187,7 +203,13 @@
 
 @attrs.define
 class _Link:
-    """The stream to one peer, owned by one task."""
+    """The stream to a peer, which one task opens and reopens.
+
+    Attributes:
+        outbox: envelopes to send.
+        calls: futures of the replies, by call id.
+        sent: number of envelopes sent.
+    """
 
     address: str
     outbox: asyncio.Queue[Envelope]
@@ -201,9 +223,13 @@
 
     Args:
         identity: this node, as name#incarnation.
-        context: returns the TLS context for new streams, or None.
-        own_address: messages to it are handed to `handler` directly.
-        handler: takes this node's messages to itself.
+        context: returns the TLS context for new streams; None for plain TCP.
+        own_address: this node's address; messages to it go to `handler`
+            without a stream.
+        handler: handles this node's messages to itself.
+
+    Attributes:
+        traffic: counts the messages sent to and received from peers.
     """
 
     def __init__(
@@ -220,43 +246,58 @@
         self._own_tasks: set[asyncio.Task[Any]] = set()
         self._context = context
         self._links: dict[str, _Link] = {}
-        self._numbers = itertools.count(1)
+        self._call_ids = itertools.count(1)
 
     def send(self, address: str, message: Any) -> None:
-        """Sends a message; a full queue drops it."""
+        """Queues a message without waiting; drops it if the queue is full.
+
+        Args:
+            address: the peer's `host:port`.
+            message: a registered message.
+        """
         if self._handler and address == self._own_address:
             task = asyncio.ensure_future(self._handler(self._identity, message))
             self._own_tasks.add(task)
             task.add_done_callback(self._own_tasks.discard)
             return
         envelope = Envelope(sender=self._identity, body=encode_body(message))
-        self.traffic.note_kind(message, envelope, address)
-        self._post(address, envelope)
+        self.traffic.record_kind(message, envelope, address)
+        self._enqueue(address, envelope)
 
     async def call(self, address: str, message: Any, timeout: float) -> Any:
-        """Returns the answer to a message, or raises `PeerError`."""
+        """Sends a message and returns the reply.
+
+        Args:
+            address: the peer's `host:port`.
+            message: a registered message.
+            timeout: seconds to wait for the reply.
+
+        Raises:
+            PeerError: the peer failed or did not reply in time.
+            codec.DecodeError: the reply is damaged.
+        """
         step = type(message).__name__
         if self._handler and address == self._own_address:
             return await self._call_self(step, message, timeout)
-        number = next(self._numbers)
+        call_id = next(self._call_ids)
         envelope = Envelope(
-            call=number, sender=self._identity, body=encode_body(message)
+            call=call_id, sender=self._identity, body=encode_body(message)
         )
-        self.traffic.note_kind(message, envelope, address)
-        link = self._link(address)
+        self.traffic.record_kind(message, envelope, address)
+        link = self._get_link(address)
         future = asyncio.get_running_loop().create_future()
-        link.calls[number] = future
+        link.calls[call_id] = future
         try:
-            self._post(address, envelope)
+            self._enqueue(address, envelope)
             reply = await asyncio.wait_for(future, timeout)
         except TimeoutError as error:
-            raise PeerError(step, address, "no answer in time") from error
+            raise PeerError(step, address, "no reply in time") from error
         except ConnectionError as error:
             raise PeerError(step, address, str(error)) from error
         finally:
-            link.calls.pop(number, None)
+            link.calls.pop(call_id, None)
         if reply.error or not reply.body:
-            raise PeerError(step, address, reply.error or "empty answer")
+            raise PeerError(step, address, reply.error or "empty reply")
         return decode_body(reply.body)
 
     async def _call_self(self, step: str, message: Any, timeout: float) -> Any:
@@ -266,47 +307,49 @@
             return await asyncio.wait_for(answer, timeout)
         except TimeoutError as error:
             own = self._own_address
-            raise PeerError(step, own, "no answer in time") from error
+            raise PeerError(step, own, "no reply in time") from error
 
     async def close(self) -> None:
-        """Ends all streams."""
+        """Closes all streams."""
         tasks = [link.task for link in self._links.values() if link.task]
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
     def reopen(self) -> None:
-        """Lets streams opened from now on use a new TLS context.
+        """Opens new streams, under the current TLS context, for later messages.
 
-        Streams in use go on under the old one until they end by themselves.
+        Existing streams keep the old context until they end.
         """
         self._links = {}
 
-    def _link(self, address: str) -> _Link:
+    def _get_link(self, address: str) -> _Link:
         link = self._links.get(address)
         if link is None:
-            link = _Link(address, asyncio.Queue(_QUEUE))
+            link = _Link(address, asyncio.Queue(_MAX_QUEUED_MESSAGES))
             link.task = asyncio.create_task(self._run(link))
             self._links[address] = link
         return link
 
-    def _post(self, address: str, envelope: Envelope) -> None:
+    def _enqueue(self, address: str, envelope: Envelope) -> None:
         try:
-            self._link(address).outbox.put_nowait(envelope)
+            self._get_link(address).outbox.put_nowait(envelope)
         except asyncio.QueueFull:
             log_message("peer:queue_full", peer=address)
 
     async def _run(self, link: _Link) -> None:
         while True:
             try:
-                await self._exchange(link)
-            except _STREAM_ERRORS as error:
-                self._fail(link, str(error) or "no answer of any kind in time")
+                await self._run_stream(link)
+            except _CONNECTION_ERRORS as error:
+                self._fail_calls(
+                    link, str(error) or "no reply to a ping in time"
+                )
             else:
-                self._fail(link, "stream ended")
-            await asyncio.sleep(_RECONNECT)
+                self._fail_calls(link, "the peer closed the stream")
+            await asyncio.sleep(_RECONNECT_DELAY_SECONDS)
 
-    async def _exchange(self, link: _Link) -> None:
+    async def _run_stream(self, link: _Link) -> None:
         first = await link.outbox.get()
         host, port = split_address(link.address)
         channel = Channel(host, port, ssl=self._context())
@@ -316,13 +359,15 @@
                     await self._send(link, stream, first)
                 reader = asyncio.create_task(self._read(link, stream))
                 writer = asyncio.create_task(self._write(link, stream))
-                checker = asyncio.create_task(self._check(link, stream))
-                await _first_of(reader, writer, checker)
+                checker = asyncio.create_task(
+                    self._check_liveness(link, stream)
+                )
+                await _wait_for_first(reader, writer, checker)
         finally:
             channel.close()
 
     async def _send(self, link: _Link, stream: Any, envelope: Envelope) -> None:
-        self.traffic.sent(envelope)
+        self.traffic.record_sent(envelope)
         link.sent += 1
         await stream.send_message(envelope)
 
@@ -332,34 +377,38 @@
 
     async def _read(self, link: _Link, stream: Any) -> None:
         async for envelope in stream:
-            self.traffic.received(envelope)
+            self.traffic.record_received(envelope)
             future = link.calls.get(envelope.call)
             if future and not future.done():
                 future.set_result(envelope)
 
-    async def _check(self, link: _Link, stream: Any) -> None:
-        """Raises once what was sent gets no answer of any kind."""
-        covered = 0
+    async def _check_liveness(self, link: _Link, stream: Any) -> None:
+        """Pings the peer after messages were sent; raises if it doesn't reply.
+
+        Raises:
+            TimeoutError: a ping was not answered in time.
+        """
+        sent_before = 0
         while True:
-            await asyncio.sleep(_CHECK_SECONDS)
-            if link.sent == covered:
+            await asyncio.sleep(_PING_INTERVAL_SECONDS)
+            if link.sent == sent_before:
                 continue
-            async with asyncio.timeout(_SILENT_SECONDS):
-                await self._ask_whether_open(link, stream)
-            covered = link.sent
+            async with asyncio.timeout(_PING_TIMEOUT_SECONDS):
+                await self._ping(link, stream)
+            sent_before = link.sent
 
-    async def _ask_whether_open(self, link: _Link, stream: Any) -> None:
-        number = next(self._numbers)
+    async def _ping(self, link: _Link, stream: Any) -> None:
+        call_id = next(self._call_ids)
         future = asyncio.get_running_loop().create_future()
-        link.calls[number] = future
-        question = Envelope(call=number, sender=self._identity)
+        link.calls[call_id] = future
+        ping = Envelope(call=call_id, sender=self._identity)
         try:
-            await self._send(link, stream, question)
+            await self._send(link, stream, ping)
             await future
         finally:
-            link.calls.pop(number, None)
+            link.calls.pop(call_id, None)
 
-    def _fail(self, link: _Link, reason: str) -> None:
+    def _fail_calls(self, link: _Link, reason: str) -> None:
         for future in link.calls.values():
             if not future.done():
                 future.set_exception(ConnectionError(reason))
@@ -367,8 +416,8 @@
             link.outbox.get_nowait()
 
 
-async def _first_of(*tasks: asyncio.Task[None]) -> None:
-    """Waits until one task ends, ends the others, and raises its error."""
+async def _wait_for_first(*tasks: asyncio.Task[None]) -> None:
+    """Waits until one task ends, cancels the others and raises its error."""
     try:
         done, _ = await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
     finally:
--- a/src/ridgesill/adapters/runner_http.py
+++ b/src/ridgesill/adapters/runner_http.py
@@ -1,4 +1,4 @@
-"""Requests and orders to runners over HTTP, by urllib3."""
+"""Sends requests and orders to runners over HTTP, based on urllib3."""
 
 import asyncio
 from collections.abc import Iterator
@@ -20,19 +20,19 @@
 DEADLINE_HEADER = "X-Order-Deadline"
 UNSTARTED_HEADER = "X-Unstarted"
 
-_POOLS = 1024
+_MAX_HOSTS = 1024
 _CONNECT_SECONDS = 1.0
-_LOAD_SECONDS = 10.0
-_PATHS = {
+_ORDER_TIMEOUT_SECONDS = 10.0
+_ORDER_PATHS = {
     LOAD: "/v1/load_lora_adapter",
     "unload": "/v1/unload_lora_adapter",
     FENCE: "/v1/fence",
 }
-_NOT_SENT = (
+_NOT_SENT_ERRORS = (
     urllib3.exceptions.NewConnectionError,
     urllib3.exceptions.ConnectTimeoutError,
 )
-_CHUNK = 65536
+_CHUNK_BYTES = 65536
 
 
 class HttpRunnerResponse:
@@ -45,12 +45,12 @@
 
     @property
     def content_type(self) -> str:
-        """The answer's content type."""
+        """The response's content type."""
         return self.headers.get("Content-Type", "application/octet-stream")
 
     @property
     def other_headers(self) -> tuple[tuple[str, str], ...]:
-        """All other headers."""
+        """All headers except the content type."""
         return tuple(
             (name, value)
             for name, value in self.headers.items()
@@ -58,22 +58,30 @@
         )
 
     def chunks(self) -> Iterator[bytes]:
-        """Yields the body as it arrives; raises `IncompleteAnswerError`."""
+        """Yields the body as it arrives.
+
+        Raises:
+            AnswerCutError: the connection ended before the body did.
+        """
         try:
-            yield from self._response.stream(_CHUNK)
+            yield from self._response.stream(_CHUNK_BYTES)
         except (urllib3.exceptions.HTTPError, OSError) as error:
             raise IncompleteAnswerError(str(error)) from error
 
     def read(self) -> bytes:
-        """Returns the whole body; raises `IncompleteAnswerError`."""
+        """Returns the complete body.
+
+        Raises:
+            AnswerCutError: the connection ended before the body did.
+        """
         return b"".join(self.chunks())
 
     def release(self) -> None:
-        """Gives the connection back after the whole body was read."""
+        """Returns the connection to its pool; the body must have been read."""
         self._response.release_conn()
 
     def cancel(self) -> None:
-        """Closes the connection, by which a runner cancels the request."""
+        """Closes the connection, which makes the runner cancel the request."""
         self._response.close()
 
 
@@ -81,37 +89,49 @@
     """Implements `ports.runner.Runners`.
 
     Args:
-        seconds: how long a runner may stay silent within an answer.
+        silence_seconds: how long a runner may send nothing while its response
+            is awaited or read.
     """
 
-    def __init__(self, seconds: float) -> None:
-        self._timeout = urllib3.Timeout(connect=_CONNECT_SECONDS, read=seconds)
+    def __init__(self, silence_seconds: float) -> None:
+        self._timeout = urllib3.Timeout(
+            connect=_CONNECT_SECONDS, read=silence_seconds
+        )
         self._pool = urllib3.PoolManager(
-            num_pools=_POOLS, maxsize=64, retries=False, timeout=self._timeout
+            num_pools=_MAX_HOSTS,
+            maxsize=64,
+            retries=False,
+            timeout=self._timeout,
         )
 
     def open(
         self, address: str, request: RunnerRequest, *, repeatable: bool
     ) -> Result[HttpRunnerResponse, RunnerFailure]:
-        """Sends a request and returns once the answer's header is here.
+        """Sends a request and returns when the response headers have arrived.
+
+        A request that isn't repeatable is sent on a new connection. If a
+        runner closes a reused one, it is unknown whether it received the
+        request.
 
-        One that is not repeatable gets a fresh connection: on a kept one, a
-        runner's close looks the same before and after it took the request.
+        Args:
+            address: the runner's `host:port`.
+            request: the request.
+            repeatable: whether it can safely be sent twice.
         """
         url = f"http://{address}{request.path}"
         try:
             if repeatable:
                 response = self._send(self._pool, url, request)
             else:
-                fresh = urllib3.PoolManager(
+                unshared_pool = urllib3.PoolManager(
                     num_pools=1, retries=False, timeout=self._timeout
                 )
-                response = self._send(fresh, url, request)
-        except _NOT_SENT as error:
+                response = self._send(unshared_pool, url, request)
+        except _NOT_SENT_ERRORS as error:
             return Err(RunnerFailure("connect", address, str(error), True))
         except urllib3.exceptions.HTTPError as error:
             return Err(RunnerFailure("request", address, str(error), False))
-        return _check(response, address)
+        return _to_result(response, address)
 
     def _send(
         self, pool: urllib3.PoolManager, url: str, request: RunnerRequest
@@ -126,12 +146,12 @@
         )
 
 
-def _check(
+def _to_result(
     response: urllib3.BaseHTTPResponse, address: str
 ) -> Result[HttpRunnerResponse, RunnerFailure]:
     if response.headers.get(UNSTARTED_HEADER, "") != "true":
         return Ok(HttpRunnerResponse(response))
-    detail = f"status {response.status}, not started"
+    detail = f"status {response.status}; the runner did not start the request"
     absent = response.status == 404
     response.drain_conn()
     response.release_conn()
@@ -142,14 +162,16 @@
     """Implements `ports.orders.Orders`."""
 
     def __init__(self) -> None:
-        timeout = urllib3.Timeout(connect=_CONNECT_SECONDS, read=_LOAD_SECONDS)
+        timeout = urllib3.Timeout(
+            connect=_CONNECT_SECONDS, read=_ORDER_TIMEOUT_SECONDS
+        )
         self._pool = urllib3.PoolManager(
-            num_pools=_POOLS, retries=False, timeout=timeout
+            num_pools=_MAX_HOSTS, retries=False, timeout=timeout
         )
         self._threads = ThreadPoolExecutor(16, "orders")
 
     async def send(self, order: Order) -> str:
-        """Returns what became of an order."""
+        """Sends an order and returns one of the verdicts in `ports.orders`."""
         loop = asyncio.get_running_loop()
         return await loop.run_in_executor(self._threads, self._post, order)
 
@@ -161,20 +183,22 @@
         try:
             response = self._pool.request(
                 "POST",
-                f"http://{order.address}{_PATHS[order.action]}",
+                f"http://{order.address}{_ORDER_PATHS[order.action]}",
                 json={"lora_name": order.adapter},
                 headers=headers,
             )
-        except _NOT_SENT as error:
-            return _log_order(order, orders.FAILED, str(error))
+        except _NOT_SENT_ERRORS as error:
+            return _log_failed_order(order, orders.FAILED, str(error))
         except urllib3.exceptions.HTTPError as error:
-            return _log_order(order, orders.UNKNOWN, str(error))
+            return _log_failed_order(order, orders.UNKNOWN, str(error))
         if response.status == 200:
             return orders.DONE
-        return _log_order(order, orders.FAILED, f"status {response.status}")
+        return _log_failed_order(
+            order, orders.FAILED, f"status {response.status}"
+        )
 
 
-def _log_order(order: Order, verdict: str, detail: str) -> str:
+def _log_failed_order(order: Order, verdict: str, detail: str) -> str:
     log_message(
         "order:not_done",
         step=order.action,
--- a/src/ridgesill/adapters/serving_metrics.py
+++ b/src/ridgesill/adapters/serving_metrics.py
@@ -1,20 +1,22 @@
-"""Counters and histograms of fronts and control nodes, by OpenTelemetry."""
+"""Counters and histograms of fronts and control nodes."""
 
 import resource
 
 from ridgesill.adapters.metrics import MeterSet
 from ridgesill.ports.telemetry import RequestEnd
 
-_KIBIBYTE = 1024
-# Unknown words that are counted by name; upstreams may invent any number.
-_WORDS_MOST = 16
+_BYTES_PER_KIBIBYTE = 1024
+# Unknown fields counted under their own names; more are counted as `others`,
+# since upstreams may send any number of them.
+_MAX_NAMED_WORDS = 16
 
 
 class ServingMetrics(MeterSet):
     """Implements `ports.telemetry.Telemetry`.
 
-    Labels are kinds of routes, priorities, outcomes, reasons and a few
-    customers, so their number doesn't grow with adapters or upstreams.
+    Labels are the kinds of routes, priorities, outcomes, reasons and a few
+    customers. The number of time series thus doesn't grow with the number of
+    adapters or upstreams.
     """
 
     def __init__(self) -> None:
@@ -24,19 +26,25 @@
         self._by_customer = meter.create_counter("ridgesill_customer_requests")
         self._attempts = meter.create_counter("ridgesill_attempts")
         self._total = meter.create_histogram("ridgesill_total_seconds")
-        self._first = meter.create_histogram("ridgesill_first_event_seconds")
-        self._waited = meter.create_histogram("ridgesill_load_wait_seconds")
+        self._first_event = meter.create_histogram(
+            "ridgesill_first_event_seconds"
+        )
+        self._load_wait = meter.create_histogram("ridgesill_load_wait_seconds")
         self._orders = meter.create_counter("ridgesill_orders")
         self._loads = meter.create_histogram("ridgesill_adapter_load_seconds")
         self._unknown_words = meter.create_counter("ridgesill_unknown_words")
         self._named_words: set[str] = set()
-        self.watch("ridgesill_peak_memory_bytes", _peak_memory)
+        self.add_gauge("ridgesill_peak_memory_bytes", _read_peak_memory_bytes)
 
     def record_request_end(self, end: RequestEnd) -> None:
-        """Counts the end of a request."""
+        """Records the outcome and the durations of a completed request."""
         labels = {"kind": end.kind, "class": str(end.priority)}
-        ended = {**labels, "outcome": end.outcome, "reason": end.reason}
-        self._requests.add(1, ended)
+        labels_with_outcome = {
+            **labels,
+            "outcome": end.outcome,
+            "reason": end.reason,
+        }
+        self._requests.add(1, labels_with_outcome)
         self._attempts.add(end.attempts, labels)
         self._total.record(end.seconds, labels)
         if end.customer:
@@ -49,26 +57,26 @@
                 },
             )
         if end.outcome == "served":
-            self._first.record(end.first_byte_seconds, labels)
+            self._first_event.record(end.first_byte_seconds, labels)
         if end.load_wait_seconds:
-            self._waited.record(end.load_wait_seconds, labels)
+            self._load_wait.record(end.load_wait_seconds, labels)
 
     def record_order(self, action: str, verdict: str) -> None:
-        """Counts an order to an engine."""
+        """Counts an order to an engine by action and verdict."""
         self._orders.add(1, {"action": action, "verdict": verdict})
 
     def record_load_seconds(self, seconds: float) -> None:
-        """Notes how long a load took."""
+        """Records the duration of an adapter load in seconds."""
         self._loads.record(seconds)
 
     def record_unknown_field(self, word: str) -> None:
-        """Counts a word of an upstream that nothing here reads."""
-        if len(self._named_words) < _WORDS_MOST:
+        """Counts an unknown field in an upstream's response."""
+        if len(self._named_words) < _MAX_NAMED_WORDS:
             self._named_words.add(word)
         label = word if word in self._named_words else "others"
         self._unknown_words.add(1, {"word": label})
 
 
-def _peak_memory() -> float:
-    used = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
-    return float(used * _KIBIBYTE)
+def _read_peak_memory_bytes() -> float:
+    peak_kibibytes = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
+    return float(peak_kibibytes * _BYTES_PER_KIBIBYTE)
--- a/src/ridgesill/app/formation.py
+++ b/src/ridgesill/app/formation.py
@@ -89,7 +89,7 @@
         state.skip_to(_FOUNDING_INDEX)
         voters = tuple(sorted(node.voter for node in self._nodes.values()))
         snapshot = make_initial_snapshot(voters, state.dump(), _FOUNDING_INDEX)
-        self._storage.found(self.identity, snapshot)
+        self._storage.initialize(self.identity, snapshot)
         log_message("log:founded", identity=self.identity, voters=voters)
 
     def _has_enough_nodes(self, elapsed: float) -> bool:
@@ -106,7 +106,7 @@
     is_failing = False
     while True:
         try:
-            storage.join(name)
+            storage.initialize_with_new_identity(name)
         except OSError as error:
             if not is_failing:
                 log_message("log:disk_refuses", step="join", detail=str(error))
--- a/src/ridgesill/app/forwarding.py
+++ b/src/ridgesill/app/forwarding.py
@@ -472,17 +472,17 @@
         )
         forwarded = front.dialect.write_upstream_request(self._request, terms)
         max_idle_seconds = 60.0 if route.is_idempotent else _UNSAFE_IDLE_SECONDS
-        channel = await front.channels.take(
+        channel = await front.channels.acquire(
             upstream.address,
-            fresh_within=max_idle_seconds,
-            most=self._max_channels(),
+            max_idle_seconds=max_idle_seconds,
+            max_open=self._max_channels(),
         )
         if not self._search.accepts_requests(upstream.name):
             # The answer to another request said so while this one waited for
             # the channel.
-            front.channels.put_back(channel)
+            front.channels.release_unused(channel)
             raise _WithheldError(f"{upstream.name} wants no requests now")
-        return front.channels.begin(channel, forwarded)
+        return front.channels.start_exchange(channel, forwarded)
 
     def _max_channels(self) -> int:
         """Returns this front's share of an upstream's channels; 0 for any."""
--- a/src/ridgesill/app/front_process.py
+++ b/src/ridgesill/app/front_process.py
@@ -234,7 +234,7 @@
     async def _prune_regularly(self) -> None:
         while True:
             await asyncio.sleep(_PRUNE_INTERVAL_SECONDS)
-            self.front.channels.sweep()
+            self.front.channels.prune()
             known = set(self.fleet.view.upstreams)
             self.front.chooser.outcomes.discard_except(known)
             now = self._loop.time()
--- a/src/ridgesill/app/telemetry.py
+++ b/src/ridgesill/app/telemetry.py
@@ -61,7 +61,7 @@
             await asyncio.sleep(_PAUSE_SECONDS)
         metrics = module.ServingMetrics()
         for name, read in self._gauges.items():
-            metrics.watch(name, read)
+            metrics.add_gauge(name, read)
         previous = self._replace_telemetry(metrics)
         if isinstance(previous, BufferedTelemetry):
             previous.replay_into(metrics)
--- a/src/ridgesill/standin/process.py
+++ b/src/ridgesill/standin/process.py
@@ -18,13 +18,13 @@
 
 from ridgesill.adapters.announce_http import ANNOUNCE_PATH
 from ridgesill.adapters.http_server import (
-    Answer,
+    HttpResponse,
     HttpServer,
     ServerLimits,
     StartResponse,
-    json_answer,
+    json_response,
     read_body,
-    send_answer,
+    send_response,
 )
 from ridgesill.adapters.runner_http import EPOCH_HEADER, UNSTARTED_HEADER
 from ridgesill.core import codec
@@ -99,19 +99,19 @@
         answer = self._handle_order(
             path, body, int(environ.get(_EPOCH_ENVIRON_KEY, "0"))
         )
-        return send_answer(answer, start_response)
+        return send_response(answer, start_response)
 
     def _handle_order(
         self, path: str, body: dict[str, Any], epoch: int
-    ) -> Answer:
+    ) -> HttpResponse:
         adapter = body.get("lora_name", "")
         try:
             self._run_on_loop(self._execute_order(path, adapter, epoch))
         except FencedError as error:
-            return json_answer(409, {"error": str(error)})
+            return json_response(409, {"error": str(error)})
         except OrderError as error:
-            return json_answer(500, {"error": str(error)})
-        return json_answer(200, {})
+            return json_response(500, {"error": str(error)})
+        return json_response(200, {})
 
     async def _execute_order(self, path: str, adapter: str, epoch: int) -> None:
         if path == "/v1/load_lora_adapter":
@@ -143,7 +143,7 @@
         error = self._run_on_loop(self._submit(name, body, tokens))
         if isinstance(error, Exception):
             status = 404 if isinstance(error, AbsentError) else 503
-            answer = json_answer(status, {"error": repr(error)})
+            answer = json_response(status, {"error": repr(error)})
             headers = [
                 ("Content-Type", "application/json"),
                 (UNSTARTED_HEADER, "true"),
@@ -193,13 +193,13 @@
         content = []
         while (item := tokens.get()) is not None:
             if isinstance(item, Exception):
-                return send_answer(
-                    json_answer(500, {"error": "cut"}), start_response
+                return send_response(
+                    json_response(500, {"error": "cut"}), start_response
                 )
             content.append(_token_text(words, item))
         choice = {"index": 0, "message": {"content": " ".join(content)}}
-        return send_answer(
-            json_answer(200, {"choices": [choice]}), start_response
+        return send_response(
+            json_response(200, {"choices": [choice]}), start_response
         )
 
 
@@ -286,8 +286,8 @@
             for field, name in _ECHOED_HEADERS.items()
             if field in environ
         )
-        whole = attrs.evolve(json_answer(200, answer), headers=echoed)
-        return send_answer(whole, start_response)
+        whole = attrs.evolve(json_response(200, answer), headers=echoed)
+        return send_response(whole, start_response)
 
 
 class Announcer:
--- a/testing/app/test_forwarding.py
+++ b/testing/app/test_forwarding.py
@@ -549,7 +549,7 @@
         await world.add("u1", answer_ok)
         client = await world.open()
         await client.ask("/safe/x")
-        (idle,) = world.front.channels._resting.values()
+        (idle,) = world.front.channels._idle.values()
         sock = idle[0]._transport.get_extra_info("socket")
 
         def option(level: int, name: int) -> int:
