--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,4 @@
-"""Measurements and the demo; each prints one summary line last."""
+"""Benchmarks, the demo and the build of the executable.
+
+Each program prints its summary as the last line.
+"""
--- a/bench/build.py
+++ b/bench/build.py
@@ -5,22 +5,38 @@
 from pathlib import Path
 
 _ROOT = Path(__file__).parent.parent
-_SITE = _ROOT / "build" / "site"
+_SITE_PACKAGES = _ROOT / "build" / "site"
 _OUTPUT = _ROOT / "dist" / "ridgesill"
-_PIP = [sys.executable, "-m", "pip", "install", "-q"]
-_PIP += ["--disable-pip-version-check", "--upgrade", "--target", str(_SITE)]
+_PIP_INSTALL = [sys.executable, "-m", "pip", "install", "-q"]
+_PIP_INSTALL += [
+    "--disable-pip-version-check",
+    "--upgrade",
+    "--target",
+    str(_SITE_PACKAGES),
+]
 
 
 def build(output: Path = _OUTPUT) -> Path:
-    """Builds the file and returns its path."""
+    """Builds the executable file.
+
+    Args:
+        output: where the file is written.
+
+    Returns:
+        The path of the file.
+
+    Raises:
+        subprocess.CalledProcessError: pip or shiv failed.
+    """
     output.parent.mkdir(parents=True, exist_ok=True)
     requirements = str(_ROOT / "requirements" / "runtime.txt")
     subprocess.run(
-        [*_PIP, "--require-hashes", "--no-deps", "-r", requirements],
+        [*_PIP_INSTALL, "--require-hashes", "--no-deps", "-r", requirements],
         check=True,
     )
     subprocess.run(
-        [*_PIP, "--no-deps", "--no-build-isolation", str(_ROOT)], check=True
+        [*_PIP_INSTALL, "--no-deps", "--no-build-isolation", str(_ROOT)],
+        check=True,
     )
     subprocess.run(
         [
@@ -28,7 +44,7 @@
             "-m",
             "shiv",
             "--site-packages",
-            str(_SITE),
+            str(_SITE_PACKAGES),
             "--entry-point",
             "ridgesill.app.cli:main",
             "--python",
@@ -43,7 +59,7 @@
 
 
 def main() -> int:
-    """Builds the file and says where it is."""
+    """Builds the executable file and prints its path and size."""
     output = build()
     print(f"build: file={output} bytes={output.stat().st_size}")
     return 0
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -1,7 +1,8 @@
-"""Measures the slopes that docs/CAPACITY.md is worked out from.
+"""Measures the resource use from which docs/CAPACITY.md is calculated.
 
-For 3, 10, 30 and 100 nodes: what a node spends idle, by role, and for a
-change. On three nodes: what an adapter and an announcement cost.
+For 3 to 100 nodes: what a node of each role uses per idle second and per
+configuration change. On a small deployment: the memory and the time to apply
+that adapters cost, and the processor time of a runner's announcement.
 """
 
 import argparse
@@ -15,20 +16,20 @@
 import msgspec
 import urllib3
 
-from bench.declarations import apply_declaration, declare
+from bench.declarations import apply_declaration, make_declaration
 from bench.usage import Usage, read_usage
 from ridgesill.adapters.announce_http import ANNOUNCE_PATH
 from ridgesill.core.runners import Announcement
 from testing.processes import Deployment, NodeHandle, deployed, wait_until
 
-_COUNTS = (3, 10, 30, 60, 100)
-_ADAPTERS = (1_000, 20_000, 76_000)
+_NODE_COUNTS = (3, 10, 30, 60, 100)
+_ADAPTER_COUNTS = (1_000, 20_000, 76_000)
 _IDLE_SECONDS = 30.0
 _SETTLE_SECONDS = 3.0
-_CHANGES = 20
-_RUNNERS = 100
+_CHANGE_COUNT = 20
+_RUNNER_COUNT = 100
 _ANNOUNCE_SECONDS = 10
-# What the letter's size would run with (docs/CAPACITY.md).
+# The settings for the fleet size of docs/CAPACITY.md.
 _SETTINGS = {
     "limits": {"streams": 4},
     "lease": {
@@ -40,8 +41,17 @@
 
 
 @attrs.frozen
-class Spent:
-    """What nodes of a role spent, as means."""
+class RoleUsage:
+    """The mean resource use of the nodes of one role.
+
+    Attributes:
+        role: "leader", "voter" or "node".
+        nodes: the number of nodes of the role.
+        processor: processor seconds per unit.
+        bytes: bytes sent to and received from peers, per unit.
+        messages: messages sent and received, per unit.
+        resident: bytes of resident memory.
+    """
 
     role: str
     nodes: int
@@ -50,8 +60,12 @@
     messages: float
     resident: float
 
-    def line(self, per: str) -> str:
-        """Returns a line of the report."""
+    def format_line(self, per: str) -> str:
+        """Returns a line of the report.
+
+        Args:
+            per: the unit of the figures, such as "s" or "change".
+        """
         return (
             f"  {self.role:>6} ({self.nodes}): "
             f"{self.processor * 1000:.2f} ms processor/{per}, "
@@ -60,8 +74,11 @@
         )
 
 
-def make(folder: Path, count: int) -> Deployment:
-    """Returns a deployment of some nodes, up to five of them voters."""
+def make_deployment(folder: Path, count: int) -> Deployment:
+    """Returns a deployment that is not started.
+
+    Three nodes are voters, or five from 30 nodes on.
+    """
     deployment = Deployment(folder, _SETTINGS)
     voters = 3 if count < 30 else 5
     for number in range(count):
@@ -71,42 +88,48 @@
     return deployment
 
 
-def wait_version(deployment: Deployment, version: int) -> None:
-    """Waits until all nodes have a version in force."""
+def wait_until_in_force(deployment: Deployment, version: int) -> None:
+    """Waits until all nodes have a configuration version in force."""
     for node in deployment.nodes.values():
 
-        def has_it(node: NodeHandle = node) -> bool:
+        def has_version(node: NodeHandle = node) -> bool:
             shown = deployment.show(node)
             return bool(shown) and shown["version"] >= version
 
-        wait_until(has_it, f"{node.name} has version {version}", 60)
+        wait_until(has_version, f"{node.name} has version {version}", 60)
 
 
-def wait_joined(deployment: Deployment) -> None:
-    """Waits until every node knows every other, so that all is quiet."""
+def wait_until_joined(deployment: Deployment) -> None:
+    """Waits until all nodes have joined, then until their traffic settles."""
     leader = wait_until(deployment.leader, "a leader")
 
-    def joined() -> bool:
+    def have_all_joined() -> bool:
         nodes = deployment.status(leader)["nodes"]
         return len(nodes) == len(deployment.nodes)
 
-    wait_until(joined, "all nodes have joined")
+    wait_until(have_all_joined, "all nodes have joined")
     time.sleep(_SETTLE_SECONDS)
 
 
-def readings(deployment: Deployment) -> dict[str, Usage]:
-    """Returns a reading of every node."""
+def read_all_usage(deployment: Deployment) -> dict[str, Usage]:
+    """Returns the resource use of every node by name."""
     return {
         name: read_usage(deployment, node)
         for name, node in deployment.nodes.items()
     }
 
 
-def summarise(
+def average_by_role(
     deployment: Deployment, before: dict[str, Usage], divisor: float
-) -> list[Spent]:
-    """Returns what each role has spent since a reading."""
-    after = readings(deployment)
+) -> list[RoleUsage]:
+    """Returns the mean use of each role since an earlier reading.
+
+    Args:
+        deployment: the deployment that is measured.
+        before: the earlier reading by node.
+        divisor: the seconds or changes since then.
+    """
+    after = read_all_usage(deployment)
     leader = wait_until(deployment.leader, "a leader").name
     by_role: dict[str, list[Usage]] = {}
     for name, node in deployment.nodes.items():
@@ -115,7 +138,7 @@
             role = "leader" if name == leader else "voter"
         by_role.setdefault(role, []).append(after[name].since(before[name]))
     return [
-        Spent(
+        RoleUsage(
             role,
             len(used),
             statistics.mean(u.processor for u in used) / divisor,
@@ -128,44 +151,44 @@
 
 
 def measure_nodes(count: int) -> None:
-    """Prints what nodes spend idle and for a change, for a count of them."""
+    """Prints what nodes use when idle and per configuration change."""
     with tempfile.TemporaryDirectory() as name:
-        deployment = make(Path(name), count)
+        deployment = make_deployment(Path(name), count)
         with deployed(deployment):
             first = deployment.nodes["n0"]
             wait_until(deployment.leader, "a leader")
-            apply_declaration(deployment, first, declare(1, 1000))
-            wait_version(deployment, 1)
-            wait_joined(deployment)
-            before = readings(deployment)
+            apply_declaration(deployment, first, make_declaration(1, 1000))
+            wait_until_in_force(deployment, 1)
+            wait_until_joined(deployment)
+            before = read_all_usage(deployment)
             time.sleep(_IDLE_SECONDS)
-            idle = summarise(deployment, before, _IDLE_SECONDS)
+            idle = average_by_role(deployment, before, _IDLE_SECONDS)
             print(f"{count} nodes, idle:")
-            print("\n".join(spent.line("s") for spent in idle))
-            before = readings(deployment)
+            print("\n".join(usage.format_line("s") for usage in idle))
+            before = read_all_usage(deployment)
             began = time.monotonic()
-            for version in range(2, 2 + _CHANGES):
-                declared = declare(version, 1000, changed=5)
-                apply_declaration(deployment, first, declared)
-            wait_version(deployment, 1 + _CHANGES)
+            for version in range(2, 2 + _CHANGE_COUNT):
+                declaration = make_declaration(version, 1000, changed=5)
+                apply_declaration(deployment, first, declaration)
+            wait_until_in_force(deployment, 1 + _CHANGE_COUNT)
             took = time.monotonic() - began
-            changed = summarise(deployment, before, _CHANGES)
-            print(f"{count} nodes, {_CHANGES} changes in {took:.1f} s:")
-            print("\n".join(spent.line("change") for spent in changed))
+            changed = average_by_role(deployment, before, _CHANGE_COUNT)
+            print(f"{count} nodes, {_CHANGE_COUNT} changes in {took:.1f} s:")
+            print("\n".join(usage.format_line("change") for usage in changed))
 
 
 def measure_adapters() -> None:
-    """Prints what adapters cost: memory, and time to apply."""
+    """Prints the memory and the time to apply for each count of adapters."""
     with tempfile.TemporaryDirectory() as name:
-        deployment = make(Path(name), 4)
+        deployment = make_deployment(Path(name), 4)
         with deployed(deployment):
             first = deployment.nodes["n0"]
             wait_until(deployment.leader, "a leader")
-            for version, adapters in enumerate(_ADAPTERS, 1):
-                declared = declare(version, adapters)
+            for version, adapters in enumerate(_ADAPTER_COUNTS, 1):
+                declaration = make_declaration(version, adapters)
                 began = time.monotonic()
-                accepted = apply_declaration(deployment, first, declared)
-                wait_version(deployment, version)
+                accepted = apply_declaration(deployment, first, declaration)
+                wait_until_in_force(deployment, version)
                 took = time.monotonic() - began
                 print(f"{adapters} adapters, in force after {took:.2f} s:")
                 assert accepted
@@ -179,33 +202,33 @@
 
 
 def measure_announcements() -> None:
-    """Prints what a runner's announcement costs its owner."""
+    """Prints the cost of a runner's announcement to its owner."""
     with tempfile.TemporaryDirectory() as name:
-        deployment = make(Path(name), 3)
+        deployment = make_deployment(Path(name), 3)
         with deployed(deployment):
             first = deployment.nodes["n0"]
             wait_until(deployment.leader, "a leader")
-            apply_declaration(deployment, first, declare(1, 1000))
-            wait_version(deployment, 1)
-            before = readings(deployment)
-            _announce(first)
-            spent = readings(deployment)["n0"].since(before["n0"])
-            total = _RUNNERS * _ANNOUNCE_SECONDS
+            apply_declaration(deployment, first, make_declaration(1, 1000))
+            wait_until_in_force(deployment, 1)
+            before = read_all_usage(deployment)
+            _send_announcements(first)
+            usage = read_all_usage(deployment)["n0"].since(before["n0"])
+            total = _RUNNER_COUNT * _ANNOUNCE_SECONDS
             print(
-                f"{_RUNNERS} runners announcing each second: "
-                f"{spent.processor / total * 1000:.3f} ms processor each, "
-                f"idle share included; {spent.resident / 2**20:.1f} MB"
+                f"{_RUNNER_COUNT} runners announcing each second: "
+                f"{usage.processor / total * 1000:.3f} ms processor each, "
+                f"idle share included; {usage.resident / 2**20:.1f} MB"
             )
 
 
-def _announce(node: NodeHandle) -> None:
+def _send_announcements(node: NodeHandle) -> None:
     pool = urllib3.PoolManager(retries=False, timeout=5)
     url = f"http://{node.runners}{ANNOUNCE_PATH}"
     resident = tuple(f"adapter-{n:06d}@v1" for n in range(16))
     for sequence in range(_ANNOUNCE_SECONDS):
         began = time.monotonic()
-        for number in range(_RUNNERS):
-            said = Announcement(
+        for number in range(_RUNNER_COUNT):
+            announcement = Announcement(
                 f"r{number}",
                 "x",
                 "assist",
@@ -218,16 +241,16 @@
                 False,
                 sequence,
             )
-            pool.request("POST", url, body=msgspec.json.encode(said))
+            pool.request("POST", url, body=msgspec.json.encode(announcement))
         time.sleep(max(0.0, 1.0 - (time.monotonic() - began)))
 
 
 def main() -> int:
-    """Prints all slopes."""
+    """Prints all measurements."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--most", type=int, default=max(_COUNTS))
+    parser.add_argument("--most", type=int, default=max(_NODE_COUNTS))
     most = parser.parse_args().most
-    for count in _COUNTS:
+    for count in _NODE_COUNTS:
         if count <= most:
             measure_nodes(count)
     measure_adapters()
--- a/bench/demo.py
+++ b/bench/demo.py
@@ -39,7 +39,7 @@
 
 
 def make_configuration() -> str:
-    """Returns a configuration of 24 adapters in two teams."""
+    """Returns a configuration of `a0` to `a23` and `lonely` in two teams."""
     parts = [_CONFIGURATION]
     for number in range(24):
         team = "crews" if number % 2 else "potters"
@@ -52,8 +52,9 @@
             f"[adapter a{number}]\nteam = {team}\nservice = assist\n"
             f"versions = v2, v1\n{places}"
         )
-    # Team crews may only use east and west, so `far` leaves a23 no place;
-    # this one has a place, at which no runner stands.
+    # Team `crews` may use only east and west, so a23, which is restricted to
+    # `far`, has no place to run. The adapter `lonely` may run in `far`, but no
+    # runner is there.
     parts.append(
         "[adapter lonely]\nteam = potters\nservice = assist\n"
         "versions = v1\nplaces = far\n"
@@ -62,17 +63,26 @@
 
 
 @attrs.define
-class Tally:
-    """What became of the demo's requests."""
+class DemoResult:
+    """Counts the outcomes of the demo's requests.
+
+    Attributes:
+        answered: requests with a complete answer.
+        refused: requests refused as expected.
+        lost: requests without a complete answer.
+        doubled: requests or keys that ran more than once.
+        wrong_place: requests that ran in a place that is not allowed.
+        faults: a description of each fault.
+    """
 
     answered: int = 0
     refused: int = 0
     lost: int = 0
     doubled: int = 0
     wrong_place: int = 0
-    wrong: list[str] = attrs.Factory(list)
+    faults: list[str] = attrs.Factory(list)
 
-    def line(self) -> str:
+    def format_summary(self) -> str:
         """Returns the summary line."""
         return (
             f"demo: answered={self.answered} refused={self.refused} "
@@ -80,43 +90,47 @@
             f"wrong_place={self.wrong_place}"
         )
 
-    def is_right(self) -> bool:
-        """Whether all held that must hold."""
-        faults = self.lost + self.doubled + self.wrong_place
-        return not faults and not self.wrong
+    def has_passed(self) -> bool:
+        """Whether all answers and stand-in events were as expected."""
+        fault_count = self.lost + self.doubled + self.wrong_place
+        return not fault_count and not self.faults
 
 
 def allowed_places(number: int) -> set[str]:
-    """Returns the places that an adapter of the configuration may use."""
+    """Returns the places in which the adapter `a{number}` may run."""
     if number % 6 == 0:
         return {"west"}
     return {"east", "west"} if number % 2 else {"east", "west", "far"}
 
 
 class Demo:
-    """Sends the requests."""
+    """Sends requests to the nodes in turn and checks the answers.
+
+    Args:
+        deployment: a deployment that serves `make_configuration()`.
+    """
 
     def __init__(self, deployment: Deployment) -> None:
         self.deployment = deployment
-        self.tally = Tally()
+        self.result = DemoResult()
         self._nodes = list(deployment.nodes.values())
         self._http = urllib3.PoolManager(retries=False, timeout=30)
 
     def run(self) -> None:
-        """Sends all requests and checks the answers and journals."""
+        """Sends all requests, then checks the answers and stand-in events."""
         for number in range(40):
-            self._complete(number)
+            self._send_completion(number)
         for number in range(6):
-            self._call_service(number)
+            self._send_service_call(number)
         for number in range(4):
-            self._resend(number)
+            self._send_twice(number)
         for number in range(2):
             self._expect_refusal(number, "a23", 403)
             self._expect_refusal(number, "unheard-of", 404)
             self._expect_refusal(number, "a1@v9", 404)
-        self._check_journals()
+        self._check_stand_in_events()
 
-    def _node(self, number: int) -> NodeHandle:
+    def _choose_node(self, number: int) -> NodeHandle:
         return self._nodes[number % len(self._nodes)]
 
     def _post(
@@ -129,7 +143,7 @@
         url = f"http://{node.callers}{path}"
         return self._http.request("POST", url, json=body, headers=headers)
 
-    def _complete(self, number: int) -> None:
+    def _send_completion(self, number: int) -> None:
         adapter = number % 23
         name = f"a{adapter}" + ("@v1" if number % 3 == 0 else "")
         streamed = number % 2 == 0
@@ -140,63 +154,78 @@
             "max_tokens": _TOKENS,
             "stream": streamed,
         }
-        answer = self._post(self._node(number), "/v1/chat/completions", body)
+        answer = self._post(
+            self._choose_node(number), "/v1/chat/completions", body
+        )
         if answer.status != 200:
-            self.tally.lost += 1
-            self.tally.wrong.append(f"{name}: {answer.data!r}")
+            self.result.lost += 1
+            self.result.faults.append(
+                f"{name} gave no completion: {answer.data!r}"
+            )
             return
-        self.tally.answered += 1
-        words = _words(answer.data, streamed)
-        self._check_words(words, name, adapter, message)
+        self.result.answered += 1
+        words = _parse_words(answer.data, streamed)
+        self._check_completion(words, name, adapter, message)
 
-    def _check_words(
+    def _check_completion(
         self, words: list[str], name: str, adapter: int, message: dict
     ) -> None:
-        wanted = name if "@" in name else f"{name}@v2"
+        expected_model = name if "@" in name else f"{name}@v2"
         digest = hashlib.sha256(json.dumps([message]).encode()).hexdigest()
         if len(words) != _TOKENS:
-            self.tally.lost += 1
+            self.result.lost += 1
             return
-        if words[0] != wanted or words[3] != digest[:12]:
-            self.tally.wrong.append(f"{wanted}: got {words}")
+        if words[0] != expected_model or words[3] != digest[:12]:
+            self.result.faults.append(
+                f"{expected_model} expected in the answer, got {words}"
+            )
         if words[2] not in allowed_places(adapter):
-            self.tally.wrong_place += 1
+            self.result.wrong_place += 1
 
-    def _call_service(self, number: int) -> None:
+    def _send_service_call(self, number: int) -> None:
         answer = self._post(
-            self._node(number), "/services/tickets/new", {"hole": number}
+            self._choose_node(number), "/services/tickets/new", {"hole": number}
         )
         if answer.status == 200:
-            self.tally.answered += 1
+            self.result.answered += 1
         else:
-            self.tally.lost += 1
-            self.tally.wrong.append(f"ticket {number}: {answer.data!r}")
+            self.result.lost += 1
+            self.result.faults.append(
+                f"call {number} of service tickets failed: {answer.data!r}"
+            )
 
-    def _resend(self, number: int) -> None:
+    def _send_twice(self, number: int) -> None:
         headers = {"Idempotency-Key": f"key-{number}"}
         body = {"keyed": number}
         path = "/services/tickets/new"
-        first = self._post(self._node(number), path, body, headers)
-        second = self._post(self._node(number + 1), path, body, headers)
+        first = self._post(self._choose_node(number), path, body, headers)
+        second = self._post(self._choose_node(number + 1), path, body, headers)
         for answer in (first, second):
             if answer.status == 200:
-                self.tally.answered += 1
+                self.result.answered += 1
             else:
-                self.tally.lost += 1
-                self.tally.wrong.append(f"key {number}: {answer.data!r}")
+                self.result.lost += 1
+                self.result.faults.append(
+                    f"call with key key-{number} failed: {answer.data!r}"
+                )
         if first.data != second.data:
-            self.tally.doubled += 1
+            self.result.doubled += 1
 
     def _expect_refusal(self, number: int, model: str, status: int) -> None:
         body = {"model": model, "messages": []}
-        answer = self._post(self._node(number), "/v1/chat/completions", body)
+        answer = self._post(
+            self._choose_node(number), "/v1/chat/completions", body
+        )
         outcome = answer.headers.get("X-Ridgesill-Outcome")
         if answer.status == status and outcome == "not-run":
-            self.tally.refused += 1
+            self.result.refused += 1
         else:
-            self.tally.wrong.append(f"{model}: {answer.status} {outcome}")
+            self.result.faults.append(
+                f"{model} was not refused as expected: got status "
+                f"{answer.status} and outcome {outcome}"
+            )
 
-    def _check_journals(self) -> None:
+    def _check_stand_in_events(self) -> None:
         events = [
             event
             for stand_in in self.deployment.stand_ins.values()
@@ -209,14 +238,18 @@
             if e["event"] in ("begin", "call")
         )
         doubled = [k for k, n in (keys + requests).items() if n > 1]
-        self.tally.doubled += len(doubled)
+        self.result.doubled += len(doubled)
         in_use = [e for e in events if e["event"] == "unload-in-use"]
-        self.tally.wrong += [f"unloaded in use: {e}" for e in in_use]
+        self.result.faults += [
+            f"an engine unloaded an adapter in use: {e}" for e in in_use
+        ]
         if len(requests) != 50:
-            self.tally.wrong.append(f"{len(requests)} requests ran, not 50")
+            self.result.faults.append(
+                f"{len(requests)} requests ran at the stand-ins, expected 50"
+            )
 
 
-def _words(data: bytes, streamed: bool) -> list[str]:
+def _parse_words(data: bytes, streamed: bool) -> list[str]:
     if not streamed:
         document = json.loads(data)
         return document["choices"][0]["message"]["content"].split()
@@ -231,7 +264,12 @@
 def make_deployment(
     folder: Path, settings: dict[str, dict[str, Any]] | None = None
 ) -> Deployment:
-    """Returns three nodes, two runners and a plain service, not started."""
+    """Returns three nodes, two runners and a plain service, not started.
+
+    Args:
+        folder: where the nodes keep their data.
+        settings: settings of the nodes by section, beside the defaults.
+    """
     deployment = Deployment(folder, settings)
     for name, place in (("n1", "east"), ("n2", "east"), ("n3", "west")):
         deployment.add_node(name, place, voter=True)
@@ -243,7 +281,7 @@
 
 
 def main() -> int:
-    """Runs the demo; returns 0 if all held."""
+    """Runs the demo; returns 0 if every check passed."""
     with tempfile.TemporaryDirectory() as name:
         deployment = make_deployment(Path(name))
         with deployed(deployment):
@@ -253,10 +291,10 @@
             deployment.wait_serving()
             demo = Demo(deployment)
             demo.run()
-        for fault in demo.tally.wrong:
+        for fault in demo.result.faults:
             print(f"fault: {fault}")
-        print(demo.tally.line())
-        return 0 if demo.tally.is_right() else 1
+        print(demo.result.format_summary())
+        return 0 if demo.result.has_passed() else 1
 
 
 if __name__ == "__main__":
--- a/bench/path.py
+++ b/bench/path.py
@@ -1,6 +1,7 @@
-"""Measures what a node adds on the way to a runner, on real processes.
+"""Measures the latency and processor time that a node adds, on real processes.
 
-Requests straight to the stand-in and through a node alternate in one run.
+Requests through a node alternate with requests sent directly to the stand-in
+runner.
 """
 
 import sys
@@ -12,19 +13,19 @@
 import msgspec
 import urllib3
 
-from bench.declarations import apply_declaration, declare
+from bench.declarations import apply_declaration, make_declaration
 from bench.usage import percentile, processor_seconds
 from testing.processes import Deployment, NodeHandle, deployed, wait_until
 
-_PAIRS = 400
-_STREAMS = 48
+_REQUEST_PAIRS = 400
+_CALLER_COUNT = 48
 _STREAM_SECONDS = 15.0
-_TOKENS = 200
-_ADAPTERS = 8
+_STREAM_TOKENS = 200
+_ADAPTER_COUNT = 8
 _PATH = "/v1/chat/completions"
 
 
-def _body(model: str, tokens: int, stream: bool) -> bytes:
+def _encode_request(model: str, tokens: int, stream: bool) -> bytes:
     message = {"role": "user", "content": "x"}
     return msgspec.json.encode(
         {
@@ -36,12 +37,14 @@
     )
 
 
-def _first_byte(pool: urllib3.PoolManager, address: str, model: str) -> float:
+def _time_first_byte(
+    pool: urllib3.PoolManager, address: str, model: str
+) -> float:
     began = time.perf_counter()
     response = pool.request(
         "POST",
         f"http://{address}{_PATH}",
-        body=_body(model, 1, True),
+        body=_encode_request(model, 1, True),
         preload_content=False,
     )
     assert response.status == 200, response.data
@@ -53,23 +56,38 @@
 
 
 def measure_latency(node: NodeHandle, runner: str) -> tuple[float, float]:
-    """Returns the added time to the first byte, at p50 and p95, seconds."""
+    """Measures the time to the first byte that a node adds.
+
+    Args:
+        node: the node that forwards the requests.
+        runner: the address of the stand-in runner.
+
+    Returns:
+        The added seconds at the 50th and at the 95th percentile.
+    """
     pool = urllib3.PoolManager(retries=False, timeout=30)
     direct, through = [], []
-    for number in range(_PAIRS):
-        model = f"adapter-{number % _ADAPTERS:06d}"
-        through.append(_first_byte(pool, node.callers, model))
-        versioned_name = f"{model}@v{1 + number % _ADAPTERS % 7}"
-        direct.append(_first_byte(pool, runner, versioned_name))
-    skip = _ADAPTERS * 2
+    for number in range(_REQUEST_PAIRS):
+        model = f"adapter-{number % _ADAPTER_COUNT:06d}"
+        through.append(_time_first_byte(pool, node.callers, model))
+        versioned_name = f"{model}@v{1 + number % _ADAPTER_COUNT % 7}"
+        direct.append(_time_first_byte(pool, runner, versioned_name))
+    warm_up_requests = _ADAPTER_COUNT * 2
     return (
-        percentile(through[skip:], 0.5) - percentile(direct[skip:], 0.5),
-        percentile(through[skip:], 0.95) - percentile(direct[skip:], 0.95),
+        percentile(through[warm_up_requests:], 0.5)
+        - percentile(direct[warm_up_requests:], 0.5),
+        percentile(through[warm_up_requests:], 0.95)
+        - percentile(direct[warm_up_requests:], 0.95),
     )
 
 
-class _Streams:
-    """Callers that stream one completion after another."""
+class _StreamLoad:
+    """Concurrent callers that each stream one completion after another.
+
+    Args:
+        node: the node that forwards the requests.
+        tokens: tokens of each completion.
+    """
 
     def __init__(self, node: NodeHandle, tokens: int) -> None:
         self.requests = 0
@@ -80,20 +98,20 @@
         self._stop = time.monotonic() + _STREAM_SECONDS
 
     def run(self) -> None:
-        """Streams from many threads until the time is over."""
+        """Runs each caller in a thread until the measuring time is over."""
         threads = [
-            threading.Thread(target=self._caller, args=(number,))
-            for number in range(_STREAMS)
+            threading.Thread(target=self._stream_repeatedly, args=(number,))
+            for number in range(_CALLER_COUNT)
         ]
         for thread in threads:
             thread.start()
         for thread in threads:
             thread.join()
 
-    def _caller(self, number: int) -> None:
+    def _stream_repeatedly(self, number: int) -> None:
         pool = urllib3.PoolManager(retries=False, timeout=60)
-        body = _body(
-            f"adapter-{number % _ADAPTERS:06d}", self._tokens, stream=True
+        body = _encode_request(
+            f"adapter-{number % _ADAPTER_COUNT:06d}", self._tokens, stream=True
         )
         while time.monotonic() < self._stop:
             answer = pool.request(
@@ -105,10 +123,12 @@
                 self.events += events
 
 
-def _rate(node: NodeHandle, tokens: int) -> tuple[float, float, float]:
-    """Returns requests, tokens a second, and cores of processor used."""
+def _measure_throughput(
+    node: NodeHandle, tokens: int
+) -> tuple[float, float, float]:
+    """Returns requests per second, tokens per second and cores used."""
     assert node.running is not None
-    streams = _Streams(node, tokens)
+    streams = _StreamLoad(node, tokens)
     before = processor_seconds(node.running.pid)
     began = time.monotonic()
     streams.run()
@@ -118,7 +138,7 @@
 
 
 def main() -> int:
-    """Prints the measurement."""
+    """Measures and prints latency and throughput."""
     with tempfile.TemporaryDirectory() as name:
         deployment = Deployment(Path(name))
         node = deployment.add_node("n1", "dc0", voter=True)
@@ -138,11 +158,11 @@
         ]
         with deployed(deployment):
             wait_until(deployment.leader, "a leader")
-            apply_declaration(deployment, node, declare(1, 100))
-            pools = "dc0/assist"
+            apply_declaration(deployment, node, make_declaration(1, 100))
+            pool_name = "dc0/assist"
             wait_until(
                 lambda: (
-                    pools
+                    pool_name
                     in {p["pool"] for p in deployment.status(node)["pools"]}
                 ),
                 "the pool has an owner",
@@ -152,8 +172,8 @@
                 other.running.kill()
             time.sleep(4)
             p50, p95 = measure_latency(node, runner)
-            short, _, short_cores = _rate(node, 1)
-            _, tokens, cores = _rate(node, _TOKENS)
+            short, _, short_cores = _measure_throughput(node, 1)
+            _, tokens, cores = _measure_throughput(node, _STREAM_TOKENS)
     print(f"short requests: {short:.0f}/s on {short_cores:.2f} cores")
     print(f"long streams: {tokens:.0f} tokens/s on {cores:.2f} cores")
     print(
--- a/bench/quotas.py
+++ b/bench/quotas.py
@@ -1,8 +1,9 @@
-"""Compares ways of keeping a customer's limit over all fronts.
+"""Compares strategies that enforce a customer's limit across all fronts.
 
-`make bench-quotas`. Prints, for each way and size of fleet, the tokens beyond
-the limit in the busiest window, what was refused below it, and how much of the
-limit a hot customer could use.
+`make bench-quotas`. Prints for each fleet size and strategy: the tokens beyond
+the limit in the busiest window, the share of tokens refused while the customer
+was below its limit, the share of the limit that it used while it was above it,
+and the messages per second.
 """
 
 import random
@@ -23,14 +24,14 @@
     Silence,
 )
 
-_SIZES = (6, 74, 330)
-_LARGE = Quota(145_000, 145_000, counts_tokens=True)
-_SMALL = Quota(29_000, 29_000, counts_tokens=True)
+_FLEET_SIZES = (6, 74, 330)
+_LARGE_QUOTA = Quota(145_000, 145_000, counts_tokens=True)
+_SMALL_QUOTA = Quota(29_000, 29_000, counts_tokens=True)
 _SEEDS = (1, 2, 3)
 
 
-class Reporting:
-    """What all ways do alike."""
+class ReportingFront:
+    """Records the requests of a front for its reports to the owner."""
 
     def __init__(self) -> None:
         self.uses: dict[str, RateUse] = {}
@@ -39,101 +40,122 @@
         self.fronts = 1
 
     def collect_uses(self) -> dict[str, RateUse]:
-        """Returns what there is to report."""
+        """Returns the uses recorded since the last call and clears them."""
         uses, self.uses = self.uses, {}
         self.used_since = float("inf")
         return uses
 
-    def note(self, name: str, cost: int, passed: bool, now: float) -> bool:
-        """Counts a request."""
+    def record_request(
+        self, name: str, cost: int, passed: bool, now: float
+    ) -> bool:
+        """Records a request and returns `passed`.
+
+        Args:
+            name: the limit that the request counts against.
+            cost: the cost of the request, in tokens for a token limit.
+            passed: whether the request was admitted.
+            now: the current time in seconds.
+        """
         self.used_since = min(self.used_since, now)
         use = RateUse(cost if passed else 0, cost)
         self.uses = add_uses(self.uses, {name: use})
         return passed
 
 
-class EvenParts(Reporting):
-    """Each front keeps its equal part of the limit, whatever others do."""
+class EqualShares(ReportingFront):
+    """Gives each front an equal share of the limit, whatever its demand."""
 
     def __init__(self, _rng: random.Random) -> None:
         super().__init__()
-        self._part = LocalBucket(float("inf"), 0.0)
+        self._share_bucket = LocalBucket(float("inf"), 0.0)
 
     def apply_news(
         self, states: Mapping[str, RateState], fronts: int, told_at: float
     ) -> None:
-        """Takes how many fronts there are."""
+        """Stores the number of fronts."""
         self.fronts = fronts
 
     def admit(self, name: str, quota: Quota, cost: int, now: float) -> bool:
-        """Returns whether its own part lasts for a request."""
-        rate, most = quota.rate / self.fronts, quota.burst / self.fronts
-        passed = self._part.acquire(cost, rate, most, now)
-        return self.note(name, cost, passed, now)
+        """Returns whether this front's share allows a request."""
+        rate, burst = quota.rate / self.fronts, quota.burst / self.fronts
+        passed = self._share_bucket.acquire(cost, rate, burst, now)
+        return self.record_request(name, cost, passed, now)
 
 
-class CommonLevel(Reporting):
-    """The owner tells what is left; each front adds what it has spent since."""
+class SharedLevel(ReportingFront):
+    """Compares the level that the owner reports with this front's own use.
+
+    What other fronts have used since the report is not known.
+    """
 
     def __init__(self, _rng: random.Random) -> None:
         super().__init__()
-        self._since = 0
+        self._used_since_news = 0
 
     def apply_news(
         self, states: Mapping[str, RateState], fronts: int, told_at: float
     ) -> None:
-        """Takes what is left."""
+        """Stores the reported levels and resets the own use."""
         self.states = states
-        self._since = 0
+        self._used_since_news = 0
 
     def admit(self, name: str, quota: Quota, cost: int, now: float) -> bool:
-        """Returns whether something is left."""
+        """Returns whether the reported level exceeds the use since then."""
         state = self.states.get(name)
-        passed = state is None or state.level > self._since
-        self._since += cost if passed else 0
-        return self.note(name, cost, passed, now)
+        passed = state is None or state.level > self._used_since_news
+        self._used_since_news += cost if passed else 0
+        return self.record_request(name, cost, passed, now)
 
 
-_WAYS = {
-    "equal parts": EvenParts,
-    "common level": CommonLevel,
+_STRATEGIES = {
+    "equal parts": EqualShares,
+    "common level": SharedLevel,
     "share of offers": FrontRates,
 }
 
 
-def _play(plan: Plan, way: str) -> list[Play]:
-    return [QuotaEmulation(plan, _WAYS[way], seed).play() for seed in _SEEDS]
+def _play(plan: Plan, strategy: str) -> list[Play]:
+    return [
+        QuotaEmulation(plan, _STRATEGIES[strategy], seed).play()
+        for seed in _SEEDS
+    ]
 
 
-def _print(name: str, plan: Plan) -> None:
-    for way in _WAYS:
-        plays = _play(plan, way)
+def _print_rows(name: str, plan: Plan) -> None:
+    for strategy in _STRATEGIES:
+        plays = _play(plan, strategy)
         excess = max(p.excess for p in plays)
-        calm = max(p.refused_calm for p in plays)
-        hot = min(p.passed_hot for p in plays)
+        refused = max(p.refused_calm for p in plays)
+        used = min(p.passed_hot for p in plays)
         reports = plays[0].reports / plan.seconds
         print(
-            f"{name:<28} {plan.fronts:>4} {way:<16} {excess:>10,.0f} "
-            f"{calm:>8.3f} {hot:>8.3f} {reports:>8.0f}"
+            f"{name:<28} {plan.fronts:>4} {strategy:<16} {excess:>10,.0f} "
+            f"{refused:>8.3f} {used:>8.3f} {reports:>8.0f}"
         )
 
 
 def main() -> None:
-    """Prints the table."""
+    """Prints a row for each load, fleet size and strategy."""
     print(
         f"{'load':<28} {'VMs':>4} {'way':<16} {'excess':>10} {'refused':>8} "
         f"{'used':>8} {'msgs/s':>8}"
     )
-    for fronts in _SIZES:
-        _print("largest hot", Plan(fronts, _LARGE))
-        _print("smallest hot", Plan(fronts, _SMALL))
-    cut = Silence(9.0, 4.5, 0.4)
-    _print("two fifths cut off", Plan(74, _LARGE, silences=(cut,)))
+    for fronts in _FLEET_SIZES:
+        _print_rows("largest hot", Plan(fronts, _LARGE_QUOTA))
+        _print_rows("smallest hot", Plan(fronts, _SMALL_QUOTA))
+    silence = Silence(9.0, 4.5, 0.4)
+    _print_rows(
+        "two fifths cut off", Plan(74, _LARGE_QUOTA, silences=(silence,))
+    )
     killed = tuple(Silence(at, 1.0, 0.7, restarts=True) for at in (11.0, 15.0))
-    _print("seven tenths killed twice", Plan(74, _LARGE, silences=killed))
-    lost = Plan(74, _LARGE, owner_lost_at=9.5, owner_seconds=3.5)
-    _print("owner lost as it turns hot", lost)
-    _print("limit lowered", Plan(74, _LARGE, lowered_at=13.0, hot_until=28.0))
+    _print_rows(
+        "seven tenths killed twice", Plan(74, _LARGE_QUOTA, silences=killed)
+    )
+    lost = Plan(74, _LARGE_QUOTA, owner_lost_at=9.5, owner_seconds=3.5)
+    _print_rows("owner lost as it turns hot", lost)
+    _print_rows(
+        "limit lowered", Plan(74, _LARGE_QUOTA, lowered_at=13.0, hot_until=28.0)
+    )
 
 
 if __name__ == "__main__":
--- a/bench/routing.py
+++ b/bench/routing.py
@@ -1,7 +1,8 @@
-"""Measures routing against baselines by replay on the paused clock.
+"""Compares routing with baseline policies by replaying traces.
 
-Both deployments' traces, three seeds, near 80% and at 130% of capacity: what
-the engines could generate a second if every adapter were always loaded.
+Replays run on a simulated clock: the traces of two deployments with three
+seeds, at 80% and at 130% of the rate at which the engines or the weight store
+are saturated.
 """
 
 import argparse
@@ -17,7 +18,7 @@
 import looptime
 from result import Err
 
-from bench.baselines import BASELINES, RecencyRunner, Store
+from bench.baselines import BASELINES, LruRunner, WeightStoreLimiter
 from bench.usage import percentile
 from ridgesill.core.calls import Admission, Call
 from ridgesill.core.configuration import (
@@ -42,19 +43,29 @@
 from testing.world import RunnerPlace, World
 
 _SEEDS = (1, 2, 3)
-_OURS = "ridgesill"
-_TOKENS = 100.0
+_RIDGESILL = "ridgesill"
+_TOKENS_PER_REQUEST = 100.0
 _DRAIN_SECONDS = 60.0
-_PATIENCE = 10.0
+_PATIENCE_SECONDS = 10.0
 
 
 @attrs.frozen
 class Site:
-    """A deployment as the traces need it.
+    """The parameters of an emulated deployment and its trace.
 
     Attributes:
-        absent_share: of requests whose adapter is absent, with decayed
-            frequency over pooled slots and loads that take no time.
+        name: the name of the site.
+        places: the data centres.
+        service: the name of the model service.
+        runners: the number of its runners.
+        plain: the name of the plain service.
+        store_rate: adapter loads that the weight store allows per second.
+        store_concurrency: adapter loads that it allows at the same time.
+        batch_weight: the batch weight in the service's configuration.
+        exponent: the exponent of the adapters' popularity in the trace.
+        absent_share: the share of requests whose adapter is not loaded, if
+            slots are pooled, adapters are kept by decayed frequency and loads
+            take no time.
     """
 
     name: str
@@ -70,7 +81,11 @@
 
     @property
     def model(self) -> EngineModel:
-        """The engines: a load takes what the store gives at full speed."""
+        """The engine model.
+
+        With its load time, `store_concurrency` loads at a time reach
+        `store_rate`.
+        """
         return EngineModel(
             slots=8,
             batch=16,
@@ -82,18 +97,23 @@
         )
 
     @property
-    def rate(self) -> float:
-        """Requests a second at which the engines or the store are busy."""
-        return min(self.engine_rate, self.store_rate / self.absent_share)
+    def saturating_rate(self) -> float:
+        """Requests per second that saturate the engines or the store."""
+        return min(
+            self.engine_saturating_rate, self.store_rate / self.absent_share
+        )
 
     @property
-    def engine_rate(self) -> float:
-        """Requests a second that keep all engines busy."""
+    def engine_saturating_rate(self) -> float:
+        """Requests per second that saturate all engines.
+
+        Assumes full batches and that every adapter is loaded.
+        """
         model = self.model
         step = model.step + model.batch * model.per_sequence
         step += model.slots * model.per_adapter
-        step += model.prefill * model.batch / _TOKENS
-        return self.runners * model.batch / step / _TOKENS
+        step += model.prefill * model.batch / _TOKENS_PER_REQUEST
+        return self.runners * model.batch / step / _TOKENS_PER_REQUEST
 
 
 TAMBAL = Site(
@@ -125,7 +145,15 @@
 
 @attrs.frozen
 class Run:
-    """One replay to make."""
+    """The parameters of one replay.
+
+    Attributes:
+        site: the name of the site.
+        policy: the name of the routing policy.
+        load: the request rate as a share of the saturating rate.
+        seed: the seed of the trace and of all random choices.
+        seconds: the length of the trace.
+    """
 
     site: str
     policy: str
@@ -135,8 +163,26 @@
 
 
 @attrs.define
-class Score:
-    """What a replay came to."""
+class ReplayResult:
+    """The counts and times of one replay.
+
+    Attributes:
+        requests: requests for adapters.
+        stalls: requests that waited until their adapter was loaded.
+        first_tokens: seconds until the first token, of completed requests.
+        in_time: completed requests whose first token came within their
+            patience.
+        refused: requests for adapters that were not admitted.
+        late: requests that gave up waiting for their adapter or a slot.
+        wrong: faults at the engines, such as an adapter unloaded in use.
+        doubled: requests that were started more than once.
+        false_not_run: requests refused as not run that had been started.
+        tokens: tokens that the engines generated.
+        busy: seconds in which an engine was busy, summed over the engines.
+        loads: adapter loads.
+        offline: the fewest misses possible if the trace is known in advance.
+        seconds: the length of the trace.
+    """
 
     requests: int = 0
     stalls: int = 0
@@ -155,45 +201,52 @@
 
     @property
     def first_token_p95(self) -> float:
-        """The 95th percentile; those never begun count as the patience."""
-        missing = [_PATIENCE] * (self.requests - len(self.first_tokens))
+        """Seconds to the first token at the 95th percentile.
+
+        Requests without a token count as the patience.
+        """
+        missing = [_PATIENCE_SECONDS] * (self.requests - len(self.first_tokens))
         return percentile(self.first_tokens + missing, 0.95)
 
     @property
     def batch(self) -> float:
-        """Tokens for each second that an engine was busy."""
+        """Tokens per second in which an engine was busy."""
         return self.tokens / self.busy if self.busy else 0.0
 
     @property
     def goodput(self) -> float:
-        """Requests a second answered whole and begun in time."""
+        """Requests per second that completed with their first token in time."""
         return self.in_time / self.seconds
 
 
 class Replay:
-    """Replays a trace over a policy; counts what engines were asked."""
+    """Replays a trace with a routing policy.
+
+    Args:
+        run: the parameters of the replay.
+    """
 
     def __init__(self, run: Run) -> None:
         self.run = run
         self.site = _SITES[run.site]
-        self.score = Score(seconds=run.seconds)
-        self.begun: Counter[str] = Counter()
+        self.result = ReplayResult(seconds=run.seconds)
+        self.start_counts: Counter[str] = Counter()
         self._loop = asyncio.get_running_loop()
         self._rng = random.Random(run.seed)
         self.trace = make_trace(
             Workload(
                 run.seconds,
-                self.site.rate * run.load,
+                self.site.saturating_rate * run.load,
                 exponent=self.site.exponent,
                 plain=self.site.plain,
-                tokens=_TOKENS,
+                tokens=_TOKENS_PER_REQUEST,
             ),
             run.seed,
         )
 
-    async def play(self) -> Score:
-        """Plays the whole trace."""
-        serve, engines = self._policy()
+    async def play(self) -> ReplayResult:
+        """Replays the whole trace and returns the counts."""
+        serve, engines = self._make_policy()
         tasks = []
         start = self._loop.time()
         for request in self.trace:
@@ -202,14 +255,14 @@
         await asyncio.wait(tasks, timeout=_DRAIN_SECONDS)
         for task in tasks:
             task.cancel()
-        self._count(engines)
-        return self.score
-
-    def _policy(self) -> tuple[Any, list[Engine]]:
-        if self.run.policy == _OURS:
-            ours = Ours(self)
-            return ours.serve, ours.model_engines()
-        baseline = Baseline(self)
+        self._count_engine_work(engines)
+        return self.result
+
+    def _make_policy(self) -> tuple[Any, list[Engine]]:
+        if self.run.policy == _RIDGESILL:
+            ridgesill = RidgesillPolicy(self)
+            return ridgesill.serve, ridgesill.model_engines()
+        baseline = BaselinePolicy(self)
         return baseline.serve, [r.engine for r in baseline.runners]
 
     async def _serve(
@@ -218,13 +271,23 @@
         request: TracedRequest,
     ) -> None:
         if request.adapter:
-            self.score.requests += 1
+            self.result.requests += 1
         await serve(request)
 
     async def generate(
         self, engine: Engine, request: TracedRequest, name: str, began: float
     ) -> bool:
-        """Runs a request on an engine; returns whether it ended whole."""
+        """Runs a request on an engine.
+
+        Args:
+            engine: the engine that the policy chose.
+            request: the request of the trace.
+            name: the name of the sequence on the engine.
+            began: when the request arrived, on the event loop's clock.
+
+        Returns:
+            Whether the request completed.
+        """
         adapter = f"{request.adapter}@v1"
         ended: asyncio.Future[Exception | None] = self._loop.create_future()
         first: list[float] = []
@@ -237,38 +300,42 @@
             if not ended.done():
                 ended.set_result(error)
 
-        self.begun[request.name] += 1
+        self.start_counts[request.name] += 1
         sequence = Sequence(
             name, adapter, request.tokens, request.prompt, on_token, on_end
         )
         try:
             engine.submit(sequence)
         except Exception as fault:  # noqa: BLE001 - any refusal is a fault
-            self.score.wrong += 1
+            self.result.wrong += 1
             print(f"fault: {fault!r} at {self._loop.time():.3f}: {request}")
             return False
         error = await ended
         if error is not None:
-            self.score.wrong += 1
+            self.result.wrong += 1
             return False
-        self.score.first_tokens.append(first[0])
+        self.result.first_tokens.append(first[0])
         if first[0] <= request.patience:
-            self.score.in_time += 1
+            self.result.in_time += 1
         return True
 
-    def _count(self, engines: list[Engine]) -> None:
-        score = self.score
-        score.tokens = sum(e.counts.tokens for e in engines)
-        score.busy = sum(e.counts.busy_seconds for e in engines)
-        score.loads = sum(e.counts.loads for e in engines)
-        score.wrong += sum(e.counts.unloads_in_use for e in engines)
-        score.doubled = sum(1 for n in self.begun.values() if n > 1)
+    def _count_engine_work(self, engines: list[Engine]) -> None:
+        result = self.result
+        result.tokens = sum(e.counts.tokens for e in engines)
+        result.busy = sum(e.counts.busy_seconds for e in engines)
+        result.loads = sum(e.counts.loads for e in engines)
+        result.wrong += sum(e.counts.unloads_in_use for e in engines)
+        result.doubled = sum(1 for n in self.start_counts.values() if n > 1)
         slots = self.site.model.slots * self.site.runners
-        score.offline = count_offline_misses(self.trace, slots)
+        result.offline = count_offline_misses(self.trace, slots)
 
 
-class Ours:
-    """The real decisions over fake ports."""
+class RidgesillPolicy:
+    """Routes with Ridgesill's own decision code over fake ports.
+
+    Args:
+        replay: the replay that sends the requests.
+    """
 
     def __init__(self, replay: Replay) -> None:
         self._replay = replay
@@ -306,8 +373,8 @@
         ]
 
     async def serve(self, request: TracedRequest) -> None:
-        """Serves a request through any node."""
-        fake = self._rng.choice(list(self.world.nodes.values()))
+        """Serves a request through a randomly chosen node."""
+        node = self._rng.choice(list(self.world.nodes.values()))
         began = self._loop.time()
         call = Call(
             request.name,
@@ -317,52 +384,58 @@
             priority=request.priority,
             patience=request.patience,
         )
-        admitted = await fake.entry.admit(call)
+        admitted = await node.entry.admit(call)
         if isinstance(admitted, Err):
-            score = self._replay.score
-            score.refused += bool(request.adapter)
-            score.false_not_run += bool(self._replay.begun[request.name])
+            result = self._replay.result
+            result.refused += bool(request.adapter)
+            result.false_not_run += bool(
+                self._replay.start_counts[request.name]
+            )
             return
         admission = admitted.ok_value
         try:
-            await self._run(request, admission, began)
+            await self._run_admitted(request, admission, began)
         finally:
-            fake.entry.finish(admission)
+            node.entry.finish(admission)
 
-    async def _run(
+    async def _run_admitted(
         self, request: TracedRequest, admission: Admission, began: float
     ) -> None:
         if not request.adapter:
-            self._replay.begun[request.name] += 1
+            self._replay.start_counts[request.name] += 1
             await asyncio.sleep(0.02)
             return
         if admission.stalled > 0:
-            self._replay.score.stalls += 1
+            self._replay.result.stalls += 1
         engine = self.world.engines[admission.runner]
         name = admission.request
         await self._replay.generate(engine, request, name, began)
 
 
-class Baseline:
-    """A policy without shared decisions."""
+class BaselinePolicy:
+    """Routes with a baseline policy, whose runners share no decisions.
+
+    Args:
+        replay: the replay that sends the requests.
+    """
 
     def __init__(self, replay: Replay) -> None:
         self._replay = replay
         site = replay.site
         self._loop = asyncio.get_running_loop()
         rng = random.Random(replay.run.seed)
-        store = Store(site.store_rate, site.store_concurrency)
+        store = WeightStoreLimiter(site.store_rate, site.store_concurrency)
         self._choose = BASELINES[replay.run.policy](rng)
         self.runners = []
         self._tasks = []
         for _ in range(site.runners):
             engine = Engine(site.model, rng)
             self._tasks.append(asyncio.ensure_future(engine.run()))
-            runner = RecencyRunner(engine, site.model.batch, store)
+            runner = LruRunner(engine, site.model.batch, store)
             self.runners.append(runner)
 
     async def serve(self, request: TracedRequest) -> None:
-        """Serves a request; one that waits too long is given up."""
+        """Serves a request unless its patience ends before it can start."""
         if not request.adapter:
             return
         began = self._loop.time()
@@ -373,10 +446,10 @@
                 runner.acquire(adapter), request.patience
             )
         except TimeoutError:
-            self._replay.score.late += 1
-            self._replay.score.stalls += 1
+            self._replay.result.late += 1
+            self._replay.result.stalls += 1
             return
-        self._replay.score.stalls += stalled
+        self._replay.result.stalls += stalled
         try:
             await self._replay.generate(
                 runner.engine, request, request.name, began
@@ -386,7 +459,7 @@
 
 
 def make_state(site: Site) -> State:
-    """Returns the configuration of a site."""
+    """Returns the configuration state of a deployment."""
     adapters = [
         (adapter_name(n), Adapter(f"team{n % 12}", site.service, ("v1",)))
         for n in range(3000)
@@ -410,16 +483,16 @@
     return state
 
 
-def play(run: Run) -> tuple[Run, Score]:
-    """Makes one replay on a clock of its own."""
+def play(run: Run) -> tuple[Run, ReplayResult]:
+    """Runs one replay on a simulated clock of its own."""
     loop = looptime.new_event_loop(start=0, noop_cycles=1)
     asyncio.set_event_loop(loop)
     try:
 
-        async def work() -> Score:
+        async def run_replay() -> ReplayResult:
             return await Replay(run).play()
 
-        return run, loop.run_until_complete(work())
+        return run, loop.run_until_complete(run_replay())
     finally:
         tasks = asyncio.all_tasks(loop)
         for task in tasks:
@@ -429,33 +502,41 @@
         loop.close()
 
 
-def mean(scores: list[Score], read: Callable[[Score], float]) -> float:
-    """Returns the mean of a figure over seeds."""
-    return sum(read(score) for score in scores) / len(scores)
+def mean(
+    replays: list[ReplayResult], metric: Callable[[ReplayResult], float]
+) -> float:
+    """Returns the mean of a metric over seeds."""
+    return sum(metric(result) for result in replays) / len(replays)
 
 
-def summarise(results: dict[tuple[str, str, float], list[Score]]) -> str:
-    """Returns the summary lines."""
+def summarise(results: dict[tuple[str, str, float], list[ReplayResult]]) -> str:
+    """Returns the summary lines.
+
+    They compare Ridgesill with the best baseline and count its faults.
+    """
 
     def ratio(
-        site: str, load: float, read: Callable[[Score], float], best: Any
+        site: str,
+        load: float,
+        metric: Callable[[ReplayResult], float],
+        best: Any,
     ) -> float:
-        ours = mean(results[(site, _OURS, load)], read)
-        others = [mean(results[(site, b, load)], read) for b in BASELINES]
-        return ours / best(others)
-
-    ours = [
-        score
-        for (_, policy, _), scores in results.items()
-        for score in scores
-        if policy == _OURS
+        ridgesill = mean(results[(site, _RIDGESILL, load)], metric)
+        others = [mean(results[(site, b, load)], metric) for b in BASELINES]
+        return ridgesill / best(others)
+
+    ridgesill = [
+        result
+        for (_, policy, _), replays in results.items()
+        for result in replays
+        if policy == _RIDGESILL
     ]
     stalls = ratio("tambal", 0.8, lambda s: s.stalls, min)
     first = ratio("tambal", 0.8, lambda s: s.first_token_p95, min)
     batch = ratio("tanuru", 0.8, lambda s: s.batch, max)
     goodput = ratio("tambal", 1.3, lambda s: s.goodput, max)
     goodput_tanuru = ratio("tanuru", 1.3, lambda s: s.goodput, max)
-    tambal = results[("tambal", _OURS, 0.8)]
+    tambal = results[("tambal", _RIDGESILL, 0.8)]
     offline = mean(tambal, lambda s: s.stalls) / mean(
         tambal, lambda s: s.offline
     )
@@ -467,37 +548,39 @@
         f"tambal_ttft_p95_vs_best={first:.2f} "
         f"tanuru_batch_vs_best={batch:.2f} "
         f"goodput_130_vs_best={min(goodput, goodput_tanuru):.2f} "
-        f"wrong={sum(s.wrong for s in ours)} "
-        f"false_not_run={sum(s.false_not_run for s in ours)} "
-        f"doubled={sum(s.doubled for s in ours)}"
+        f"wrong={sum(s.wrong for s in ridgesill)} "
+        f"false_not_run={sum(s.false_not_run for s in ridgesill)} "
+        f"doubled={sum(s.doubled for s in ridgesill)}"
     )
 
 
-def print_table(results: dict[tuple[str, str, float], list[Score]]) -> None:
-    """Prints the means over seeds."""
+def print_table(
+    results: dict[tuple[str, str, float], list[ReplayResult]],
+) -> None:
+    """Prints the means over seeds for each site, load and policy."""
     print(
         f"{'site':8}{'load':>5} {'policy':16}{'requests':>9}{'stalls':>8}"
         f"{'ttft p50':>9}{'ttft p95':>9}{'tok/busy s':>11}{'goodput':>8}"
         f"{'refused':>8}{'late':>6}{'loads':>7}{'offline':>8}"
     )
-    for (site, policy, load), scores in sorted(results.items()):
+    for (site, policy, load), replays in sorted(results.items()):
         print(
             f"{site:8}{load:5.1f} {policy:16}"
-            f"{mean(scores, lambda s: s.requests):9.0f}"
-            f"{mean(scores, lambda s: s.stalls):8.0f}"
-            f"{mean(scores, lambda s: percentile(s.first_tokens, 0.5)):9.3f}"
-            f"{mean(scores, lambda s: s.first_token_p95):9.3f}"
-            f"{mean(scores, lambda s: s.batch):11.1f}"
-            f"{mean(scores, lambda s: s.goodput):8.2f}"
-            f"{mean(scores, lambda s: s.refused):8.0f}"
-            f"{mean(scores, lambda s: s.late):6.0f}"
-            f"{mean(scores, lambda s: s.loads):7.0f}"
-            f"{mean(scores, lambda s: s.offline):8.0f}"
+            f"{mean(replays, lambda s: s.requests):9.0f}"
+            f"{mean(replays, lambda s: s.stalls):8.0f}"
+            f"{mean(replays, lambda s: percentile(s.first_tokens, 0.5)):9.3f}"
+            f"{mean(replays, lambda s: s.first_token_p95):9.3f}"
+            f"{mean(replays, lambda s: s.batch):11.1f}"
+            f"{mean(replays, lambda s: s.goodput):8.2f}"
+            f"{mean(replays, lambda s: s.refused):8.0f}"
+            f"{mean(replays, lambda s: s.late):6.0f}"
+            f"{mean(replays, lambda s: s.loads):7.0f}"
+            f"{mean(replays, lambda s: s.offline):8.0f}"
         )
 
 
 def main() -> int:
-    """Makes all replays; returns 0 if nothing went wrong."""
+    """Runs all replays; returns 0 if those of Ridgesill had no faults."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seconds", type=float, default=600.0)
     parser.add_argument("--seeds", type=int, default=len(_SEEDS))
@@ -506,22 +589,22 @@
     runs = [
         Run(site, policy, load, seed, options.seconds)
         for site in _SITES
-        for policy in (_OURS, *BASELINES)
+        for policy in (_RIDGESILL, *BASELINES)
         for load in (0.8, 1.3)
         for seed in _SEEDS[: options.seeds]
     ]
-    results: dict[tuple[str, str, float], list[Score]] = {}
+    results: dict[tuple[str, str, float], list[ReplayResult]] = {}
     with multiprocessing.Pool(options.processes) as workers:
-        for run, score in workers.imap_unordered(play, runs):
+        for run, result in workers.imap_unordered(play, runs):
             key = (run.site, run.policy, run.load)
-            results.setdefault(key, []).append(score)
+            results.setdefault(key, []).append(result)
     print_table(results)
     print(summarise(results))
     faults = sum(
         s.wrong + s.doubled + s.false_not_run
-        for (_, policy, _), scores in results.items()
-        if policy == _OURS
-        for s in scores
+        for (_, policy, _), replays in results.items()
+        if policy == _RIDGESILL
+        for s in replays
     )
     return int(bool(faults))
 
--- a/bench/storage.py
+++ b/bench/storage.py
@@ -1,7 +1,7 @@
-"""Weighs an append-only file against sqlite3, with a real disk's sync delay.
+"""Compares the append-only log file with SQLite under several sync delays.
 
-The delay stands in for a disk: this machine's own syncs cost next to nothing
-and say nothing about durability.
+A delay added to each sync models a disk, because syncs may cost almost nothing
+on the machine that runs the comparison. Durability is not tested.
 """
 
 import os
@@ -16,16 +16,21 @@
 from ridgesill.core.log.messages import Entry, HardState
 from ridgesill.core.log.replica import make_initial_snapshot
 
-_DELAYS = (0.0, 0.001, 0.005)
-_BATCHES = (1, 16, 64)
-_APPENDS = 200
-_BODY = bytes(200)
+_SYNC_DELAYS_SECONDS = (0.0, 0.001, 0.005)
+_BATCH_SIZES = (1, 16, 64)
+_APPEND_COUNT = 200
+_COMMAND = bytes(200)
 
-Append = Callable[[list[Entry]], None]
+AppendEntries = Callable[[list[Entry]], None]
 
 
-def make_file(folder: Path, delay: float) -> Append:
-    """Returns an append to our own file."""
+def make_file_append(folder: Path, delay: float) -> AppendEntries:
+    """Returns a function that appends entries to a `FileLog`.
+
+    Args:
+        folder: the folder of the log.
+        delay: seconds added to each sync.
+    """
 
     def sync(number: int) -> None:
         os.fdatasync(number)
@@ -37,8 +42,15 @@
     return lambda entries: log.append(None, entries)
 
 
-def make_sqlite(folder: Path, delay: float) -> Append:
-    """Returns an append to a database in WAL mode, synced at each commit."""
+def make_sqlite_append(folder: Path, delay: float) -> AppendEntries:
+    """Returns a function that appends entries to an SQLite database.
+
+    The database is in WAL mode and syncs at each commit.
+
+    Args:
+        folder: the folder of the database.
+        delay: seconds added to each commit.
+    """
     connection = sqlite3.connect(folder / "log.db", isolation_level=None)
     connection.execute("pragma journal_mode=wal")
     connection.execute("pragma synchronous=full")
@@ -58,23 +70,35 @@
     return append
 
 
-def measure(append: Append, batch: int) -> float:
-    """Returns entries a second."""
+def measure(append: AppendEntries, batch: int) -> float:
+    """Measures appends of batches.
+
+    Args:
+        append: the function that appends entries.
+        batch: entries per append.
+
+    Returns:
+        Entries per second.
+    """
     index = 0
     began = time.perf_counter()
-    for _ in range(_APPENDS):
-        entries = [Entry(index + n + 1, 1, _BODY) for n in range(batch)]
+    for _ in range(_APPEND_COUNT):
+        entries = [Entry(index + n + 1, 1, _COMMAND) for n in range(batch)]
         index += batch
         append(entries)
-    return _APPENDS * batch / (time.perf_counter() - began)
+    return _APPEND_COUNT * batch / (time.perf_counter() - began)
 
 
 def measure_restart(count: int) -> float:
-    """Returns the seconds that opening a log of some entries takes."""
+    """Returns the seconds to open a log file.
+
+    Args:
+        count: the number of entries in the log.
+    """
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
-        append = make_file(folder, 0.0)
-        append([Entry(n + 1, 1, _BODY) for n in range(count)])
+        append = make_file_append(folder, 0.0)
+        append([Entry(n + 1, 1, _COMMAND) for n in range(count)])
         log = FileLog(folder)
         began = time.perf_counter()
         stored = log.load()
@@ -85,11 +109,11 @@
 
 
 def main() -> int:
-    """Prints the comparison."""
-    makers = {"file": make_file, "sqlite": make_sqlite}
+    """Prints the rates of both logs and the time to open a log file."""
+    makers = {"file": make_file_append, "sqlite": make_sqlite_append}
     rates: dict[tuple[str, float, int], float] = {}
-    for delay in _DELAYS:
-        for batch in _BATCHES:
+    for delay in _SYNC_DELAYS_SECONDS:
+        for batch in _BATCH_SIZES:
             for name, make in makers.items():
                 with tempfile.TemporaryDirectory() as folder:
                     append = make(Path(folder), delay)
