--- a/testing/app/order_world.py
+++ b/testing/app/order_world.py
@@ -87,7 +87,7 @@
             self._world.orders.append(received)
         return await self._world.channels.send(address, request)
 
-    def sweep(self) -> None:
+    def prune(self) -> None:
         """Does nothing, as there are no idle connections."""
 
 
