--- a/testing/explorer/__init__.py
+++ b/testing/explorer/__init__.py
@@ -1,1 +1,1 @@
-"""Schedules of faults for the orders to engines, on the real code."""
+"""Runs the owner's orders to engines under random schedules of faults."""
--- a/testing/explorer/__main__.py
+++ b/testing/explorer/__main__.py
@@ -1,4 +1,4 @@
-"""Plays schedules by hand: `python -m testing.explorer --schedules 50000`."""
+"""Runs many schedules: `python -m testing.explorer play --schedules 50000`."""
 
 import concurrent.futures
 import os
@@ -8,22 +8,22 @@
 
 import fire
 
-from testing.explorer.mutants import take_out
-from testing.explorer.schedules import draw_schedule, play, shrink
+from testing.explorer.mutants import apply_mutant
+from testing.explorer.schedules import generate_schedule, run_schedule, shrink
 
-# Schedules that a worker plays between two words.
-_BATCH = 25
+# Schedules that a worker process runs per task.
+_BATCH_SIZE = 25
 
 
-def _play_batch(
+def _run_batch(
     first: int, count: int, without: str, wide: bool
 ) -> dict[int, list[str]]:
     failed = {}
-    with take_out(without):
+    with apply_mutant(without):
         for seed in range(first, first + count):
-            found, _ = play(draw_schedule(seed, wide=wide))
-            if found:
-                failed[seed] = found
+            violations, _ = run_schedule(generate_schedule(seed, wide=wide))
+            if violations:
+                failed[seed] = violations
     return failed
 
 
@@ -35,31 +35,32 @@
     enough: int = 0,
     wide: bool = False,
 ) -> dict[int, list[str]]:
-    """Plays schedules on several processes.
+    """Runs schedules on several processes.
 
     Args:
-        schedules: how many.
-        first: the seed of the first.
-        without: a mend that is taken out.
-        jobs: processes; as many as there are processors when 0.
-        enough: failures after which no more are played; all when 0.
-        wide: whether more kinds of faults are drawn.
+        schedules: number of schedules.
+        first: seed of the first schedule; each further one adds 1.
+        without: name of the mutant to apply; empty for none.
+        jobs: number of processes; 0 for one per processor.
+        enough: number of failures after which no more schedules are started;
+            0 to run all.
+        wide: whether schedules contain more kinds of faults.
 
     Returns:
-        What didn't hold, by seed.
+        The violated invariants by seed.
     """
     failed: dict[int, list[str]] = {}
     workers = jobs or os.cpu_count() or 1
     with concurrent.futures.ProcessPoolExecutor(workers) as pool:
         batches = [
             pool.submit(
-                _play_batch,
+                _run_batch,
                 seed,
-                min(_BATCH, first + schedules - seed),
+                min(_BATCH_SIZE, first + schedules - seed),
                 without,
                 wide,
             )
-            for seed in range(first, first + schedules, _BATCH)
+            for seed in range(first, first + schedules, _BATCH_SIZE)
         ]
         for batch in batches:
             failed.update(batch.result())
@@ -70,11 +71,11 @@
 
 
 def main(schedules: int = 1000, **options: Any) -> None:
-    """Plays schedules and says what didn't hold; options as of `explore`."""
+    """Runs schedules and prints violations; takes the options of `explore`."""
     began = time.monotonic()
     failed = explore(schedules, **options)
-    for seed, found in sorted(failed.items()):
-        print(f"seed {seed}: {'; '.join(found)}")
+    for seed, violations in sorted(failed.items()):
+        print(f"seed {seed}: {'; '.join(violations)}")
     seconds = time.monotonic() - began
     print(f"{schedules} schedules, {len(failed)} failed, {seconds:.0f} s")
     sys.exit(1 if failed else 0)
@@ -83,16 +84,17 @@
 def show(
     seed: int, without: str = "", lines: int = 40, wide: bool = False
 ) -> None:
-    """Shrinks a schedule that fails, and prints it and its orders."""
-    with take_out(without):
+    """Shrinks a failing schedule and prints it with its last log lines."""
+    with apply_mutant(without):
         schedule = shrink(
-            draw_schedule(seed, wide=wide), lambda tried: bool(play(tried)[0])
+            generate_schedule(seed, wide=wide),
+            lambda candidate: bool(run_schedule(candidate)[0]),
         )
-        found, world = play(schedule)
+        violations, world = run_schedule(schedule)
     print(schedule)
     for line in world.log[-lines:]:
         print(line)
-    print("; ".join(found) or "holds")
+    print("; ".join(violations) or "holds")
 
 
 if __name__ == "__main__":
--- a/testing/explorer/weighed.py
+++ b/testing/explorer/memory_engine.py
@@ -1,4 +1,4 @@
-"""Engines that load base models too, and count megabytes."""
+"""Simulated engines that load base models and have limited memory."""
 
 from typing import Any
 
@@ -15,38 +15,39 @@
 MODELS = ("base", "other")
 _MODEL_MB = {"base": 1000.0, "other": 400.0}
 _ADAPTER_MB = 50.0
-# Both models and two adapters, or one model and as many as there are places.
-_ROOM_MB = 1500.0
+# Fits both models and two adapters, or one model and an adapter in each slot.
+_MEMORY_MB = 1500.0
 _MODEL_SECONDS = 0.6
 _BAD_REQUEST = 400
 _CONFLICT = 409
 
 
 @attrs.define
-class WeighedEngine(SimulatedEngine):
-    """An engine that starts without a model.
+class MemoryLimitedEngine(SimulatedEngine):
+    """Simulates an engine that starts without a base model.
 
-    Adapters are named with their model here, as `base/a1`.
+    Its adapters are named with their model, such as `base/a1`.
 
     Attributes:
-        models: that it holds.
-        loading_model: that is on its way; meanwhile it takes no other order.
-        model_at: when that is there, in seconds.
+        models: the base models that it holds.
+        loading_model: the base model being loaded, empty for none. Meanwhile
+            the engine refuses every other order.
+        model_ready_at: when that load completes, in seconds.
     """
 
     models: set[str] = attrs.Factory(set)
     loading_model: str = ""
-    model_at: float = 0.0
+    model_ready_at: float = 0.0
 
     def complete_due(self, now: float) -> None:
-        """Lets loads and unloads end that are due."""
-        if self.loading_model and now >= self.model_at:
+        """Completes loads and unloads that are due."""
+        if self.loading_model and now >= self.model_ready_at:
             self.models.add(self.loading_model)
             self.loading_model = ""
         super().complete_due(now)
 
     def handle_order(self, body: dict[str, Any], now: float) -> int:
-        """Carries out an order; returns the status of its answer."""
+        """Executes an order; returns the HTTP status of the answer."""
         self.complete_due(now)
         model, adapter = body["model"], body.get("adapter")
         if body.get("expected_revision") not in (None, self.taken):
@@ -60,7 +61,7 @@
         status = super().handle_order(
             {**body, "adapter": f"{model}/{adapter}"}, now
         )
-        self.is_overfull = self.is_overfull or self._weight() > _ROOM_MB
+        self.is_overfull = self.is_overfull or self._used_mb() > _MEMORY_MB
         return status
 
     def _order_model(self, model: str, now: float) -> int:
@@ -72,18 +73,18 @@
             return _CONFLICT
         self.taken += 1
         self.loading_model = model
-        self.model_at = now + _MODEL_SECONDS
-        self.is_overfull = self.is_overfull or self._weight() > _ROOM_MB
+        self.model_ready_at = now + _MODEL_SECONDS
+        self.is_overfull = self.is_overfull or self._used_mb() > _MEMORY_MB
         return 202
 
-    def _weight(self) -> float:
+    def _used_mb(self) -> float:
         models = {*self.models, self.loading_model} - {""}
         adapters = self.held.keys() | self.incoming.keys()
-        weights = sum(_MODEL_MB[model] for model in models)
-        return weights + _ADAPTER_MB * len(adapters)
+        models_mb = sum(_MODEL_MB[model] for model in models)
+        return models_mb + _ADAPTER_MB * len(adapters)
 
     def list_models(self) -> list[dict[str, Any]]:
-        """Returns what it holds as its reports and heartbeats say it."""
+        """Returns the models that it holds in the form of a heartbeat."""
         return [
             {
                 "name": model,
@@ -98,7 +99,7 @@
         ]
 
     def describe(self) -> dict[str, Any]:
-        """Returns what it would say of itself without delay."""
+        """Returns its current state in the form of a report."""
         return {
             "sequence": self.taken,
             "busy_slots": bool(self.blocking_artifact or self.loading_model),
@@ -107,19 +108,19 @@
         }
 
     def artifacts(self) -> set[str]:
-        """Returns all that it holds."""
+        """Returns the names of all artifacts that it holds."""
         return {*self.models, *self.held}
 
     def artifact(self, adapter: str) -> str:
-        """Returns what others call one of its adapters."""
+        """Returns the artifact name of an adapter, which contains its model."""
         return adapter
 
 
-def make_weighed_table(service: str, places: int) -> RouteTable:
-    """Returns a configuration with two models on engines with little room."""
+def make_memory_limited_table(service: str, adapter_slots: int) -> RouteTable:
+    """Returns a configuration of two models and engines with little memory."""
     models = tuple(
         Model(name, megabytes, 1.0, 99, _ADAPTER_MB)
         for name, megabytes in _MODEL_MB.items()
     )
-    spec = EngineSpec(8, _ROOM_MB, places, 4.0, models)
+    spec = EngineSpec(8, _MEMORY_MB, adapter_slots, 4.0, models)
     return RouteTable(1, [], [Service(service, "/", 0, spec)])
--- a/testing/explorer/mutants.py
+++ b/testing/explorer/mutants.py
@@ -1,4 +1,4 @@
-"""Takes one mend out of the code, to show that schedules find its fault."""
+"""Mutants: each disables one safeguard, which schedules should detect."""
 
 import contextlib
 from collections.abc import Callable, Iterator
@@ -20,50 +20,54 @@
 
 @contextlib.contextmanager
 def _count_of_each_copy() -> Iterator[None]:
-    """Copies name the count known as each leaves, which upkeep may forget."""
+    """Each copy of an order names the order count known when it is sent.
+
+    Upkeep also forgets the count while a report is due, and no order is held
+    back because of late orders at following counts.
+    """
     send_once = EngineOrders._send_once
     is_known = FleetUpkeep._is_known
 
-    async def send(self: Any, wanted: Any, engine: Any, again: bool) -> Any:
-        named = attrs.evolve(wanted, revision=engine.revision)
-        return await send_once(self, named, engine, again)
+    async def send(self: Any, order: Any, engine: Any, again: bool) -> Any:
+        renumbered_order = attrs.evolve(order, revision=engine.revision)
+        return await send_once(self, renumbered_order, engine, again)
 
-    def forget(self: Any, engine: Any, now: float) -> bool:
+    def forget_and_check(self: Any, engine: Any, now: float) -> bool:
         if engine.needs_report(now):
             engine.revision = None
         return is_known(self, engine, now)
 
-    def may_order(self: Any, action: Any, artifact: str, *_: Any) -> bool:
-        return real_may_order(self, action, artifact, -9, 0.0)
+    def is_order_safe(self: Any, action: Any, artifact: str, *_: Any) -> bool:
+        return real_is_order_safe(self, action, artifact, -9, 0.0)
 
-    real_may_order = Engine.is_order_safe
-    real_note = EngineOrders._apply_verdict
+    real_is_order_safe = Engine.is_order_safe
+    real_apply_verdict = EngineOrders._apply_verdict
 
-    def note(self: Any, engine: Any, wanted: Any, verdict: Any) -> None:
-        # A count that was forgotten meanwhile isn't moved.
+    def apply_verdict(self: Any, engine: Any, order: Any, verdict: Any) -> None:
+        # A count that has been forgotten meanwhile is not raised.
         if engine.revision is None:
             return
-        real_note(self, engine, wanted, verdict)
+        real_apply_verdict(self, engine, order, verdict)
 
     with (
         mock.patch.object(EngineOrders, "_send_once", send),
-        mock.patch.object(EngineOrders, "_apply_verdict", note),
-        mock.patch.object(FleetUpkeep, "_is_known", forget),
-        mock.patch.object(Engine, "is_order_safe", may_order),
+        mock.patch.object(EngineOrders, "_apply_verdict", apply_verdict),
+        mock.patch.object(FleetUpkeep, "_is_known", forget_and_check),
+        mock.patch.object(Engine, "is_order_safe", is_order_safe),
     ):
         yield
 
 
 @contextlib.contextmanager
 def _no_look_before_it_leaves() -> Iterator[None]:
-    """What a report told since the choice doesn't keep an order back."""
+    """Orders are sent without a last check against the engine's capacity."""
     with mock.patch.object(Engine, "is_order_safe", lambda *_: True):
         yield
 
 
 @contextlib.contextmanager
 def _forget_the_unanswered() -> Iterator[None]:
-    """Loads without an answer take no place."""
+    """Loads without an answer occupy no adapter slot or memory."""
     real = Engine.possible_artifacts
 
     def possible_artifacts(self: Any) -> set[str]:
@@ -76,14 +80,14 @@
 
 @contextlib.contextmanager
 def _no_strays() -> Iterator[None]:
-    """What earlier starts were ordered isn't reckoned with."""
+    """Orders that were sent to earlier starts of an engine are ignored."""
     with mock.patch.object(engines, "find_load_chain", lambda *_: []):
         yield
 
 
 @contextlib.contextmanager
 def _no_thought_of_a_next_start() -> Iterator[None]:
-    """What a next start may carry out by itself isn't reckoned with."""
+    """Orders are sent even if they could overfill a restarted engine."""
     with mock.patch.object(
         EngineOrders, "_is_safe_after_restart", lambda *_: True
     ):
@@ -92,23 +96,25 @@
 
 @contextlib.contextmanager
 def _no_starts() -> Iterator[None]:
-    """Starts under one name aren't told apart."""
+    """Restarts of an engine under the same name go unnoticed."""
 
-    def blind(decode: Any) -> Callable[..., Any]:
+    def ignore_start(decode: Any) -> Callable[..., Any]:
         def read(body: bytes, shape: Any) -> Any:
-            said = decode(body, shape)
-            said.born = 0
-            return said
+            report = decode(body, shape)
+            report.born = 0
+            return report
 
         return read
 
-    with mock.patch.object(upstreams, "_decode", blind(upstreams._decode)):
+    with mock.patch.object(
+        upstreams, "_decode", ignore_start(upstreams._decode)
+    ):
         yield
 
 
 @contextlib.contextmanager
 def _successor_trusts() -> Iterator[None]:
-    """A successor doesn't wait for what its predecessor ordered."""
+    """A new owner doesn't wait until orders of its predecessor have expired."""
     real = Registry.adopt
 
     def adopt(self: Any, known: Any, now: float) -> None:
@@ -120,13 +126,13 @@
 
 @contextlib.contextmanager
 def _heartbeats_lower() -> Iterator[None]:
-    """Heartbeats take from what an engine may hold."""
+    """Heartbeats remove artifacts from what an engine possibly holds."""
     real = Engine.reconcile
 
     def reconcile(self: Any, resident: Any, now: float) -> Any:
-        said = real(self, resident, now)
+        appeared = real(self, resident, now)
         self.unconfirmed.clear()
-        return said
+        return appeared
 
     with mock.patch.object(Engine, "reconcile", reconcile):
         yield
@@ -134,14 +140,14 @@
 
 @contextlib.contextmanager
 def _no_wait_for_a_report() -> Iterator[None]:
-    """A report is asked for at once after a refusal or by a new owner."""
+    """Reports are requested at once after a refusal or by a new owner."""
     with mock.patch.object(engine_orders, "_REPORT_LAG_SECONDS", 0.0):
         yield
 
 
 @contextlib.contextmanager
 def _newcomers_trusted() -> Iterator[None]:
-    """A successor that knew nobody orders engines that began just now."""
+    """A new owner without records sends orders to engines that just started."""
     with mock.patch.object(
         FleetEngines, "_may_have_started_recently", lambda *_: False
     ):
@@ -150,14 +156,14 @@
 
 @contextlib.contextmanager
 def _busy_reports_believed() -> Iterator[None]:
-    """A report made while a base model loads tells all that is there."""
+    """A report that was made while a base model loads is taken for complete."""
     with mock.patch.object(Engine, "_is_busy_explained", lambda _: True):
         yield
 
 
 @contextlib.contextmanager
 def _places_alone() -> Iterator[None]:
-    """Engines are chosen by free places, however few megabytes are left."""
+    """Engines are chosen by free adapter slots, regardless of free memory."""
 
     def fits(spec: Any, artifacts: Any) -> bool:
         return count_adapters(artifacts) <= spec.adapter_slots
@@ -166,8 +172,8 @@
         yield
 
 
-def take_out(name: str) -> contextlib.AbstractContextManager[None]:
-    """Returns what takes a mend out for a while; nothing for no name."""
+def apply_mutant(name: str) -> contextlib.AbstractContextManager[None]:
+    """Returns a context manager that applies a mutant, or nothing for ''."""
     return MUTANTS[name]() if name else contextlib.nullcontext()
 
 
--- a/testing/explorer/schedules.py
+++ b/testing/explorer/schedules.py
@@ -1,4 +1,4 @@
-"""Schedules of faults, and playing one on the paused clock."""
+"""Generates schedules of faults and runs them on a simulated clock."""
 
 import asyncio
 import random
@@ -9,32 +9,39 @@
 import looptime
 
 from ridgesill.core.fleet.sent_orders import UNANSWERED_SECONDS
-from testing.explorer.world import ExplorerWorld, Late
-
-# Until leases are granted and the first loads are there, in seconds.
-_BEGIN_SECONDS = 1.6
-# After the last fault, in seconds: orders go on while some still run late.
-# Books are true once loads have ended and a report has come, which is asked for
-# when the last order without an answer can't be carried out any more.
-_CALM_SECONDS = 1.5
+from testing.explorer.world import AnswerLoss, ExplorerWorld
+
+# Time for the owner to get its leases and for the first loads to complete.
+_START_UP_SECONDS = 1.6
+# How long requests continue after the last fault and the last delayed order.
+_QUIET_SECONDS = 1.5
+# The owner's records are correct once all loads have completed and a report has
+# arrived. The owner requests that report when the last order without an answer
+# can no longer be executed.
 _SETTLE_SECONDS = UNANSWERED_SECONDS + 4.0
-# After how many seconds an order without an answer is carried out; most soon
-# enough that much of what was known then still holds.
-_FATES = (0.0, 2.0, 2.0, 2.5, 3.0, 4.0, 6.0, 12.0)
+# Delays after which an order without an answer is executed. Most are short, so
+# that the engine has changed little since the owner sent the order.
+_EXECUTION_DELAYS_SECONDS = (0.0, 2.0, 2.0, 2.5, 3.0, 4.0, 6.0, 12.0)
 
 
 @attrs.frozen
 class LoseAnswers:
-    """For a while some orders get no answer and run late."""
+    """Loses the answers of some orders and delays their execution.
+
+    Attributes:
+        seconds: how long this lasts.
+        share: share of the orders that is affected.
+        delays_seconds: execution delays, used in turn.
+    """
 
     seconds: float
     share: float
-    fates: tuple[float, ...]
+    delays_seconds: tuple[float, ...]
 
 
 @attrs.frozen
 class Restart:
-    """An engine starts again, under its name or a new one."""
+    """Restarts an engine under the same or a new name."""
 
     engine: int
     same_name: bool
@@ -42,7 +49,7 @@
 
 @attrs.frozen
 class CutOff:
-    """An engine is cut off."""
+    """Cuts an engine off in both directions."""
 
     engine: int
     seconds: float
@@ -50,7 +57,7 @@
 
 @attrs.frozen
 class CutOneWay:
-    """An engine is cut off one way; see `ExplorerWorld.cut_one_way`."""
+    """Disrupts one direction; see `ExplorerWorld.cut_one_way`."""
 
     engine: int
     seconds: float
@@ -59,28 +66,33 @@
 
 @attrs.frozen
 class Leave:
-    """An engine leaves, and another one takes its address."""
+    """Drains an engine; another engine then starts at its address."""
 
     engine: int
 
 
 @attrs.frozen
 class ReplaceOwner:
-    """The owner is lost."""
+    """Replaces the owner without notice.
+
+    Attributes:
+        knows_fleet: whether the successor knows the upstreams that its
+            predecessor knew.
+    """
 
-    knows: bool
+    knows_fleet: bool
 
 
 @attrs.frozen
-class Use:
-    """Requests use what an engine holds."""
+class UseAdapter:
+    """Has a request use an adapter that an engine holds."""
 
     engine: int
 
 
 @attrs.frozen
 class Pause:
-    """Nothing new for a while."""
+    """Waits before the next event."""
 
     seconds: float
 
@@ -92,170 +104,182 @@
     | CutOneWay
     | Leave
     | ReplaceOwner
-    | Use
+    | UseAdapter
     | Pause
 )
 
 
 @attrs.frozen
 class Schedule:
-    """What happens, and the seed of what isn't said.
+    """A sequence of events.
 
     Attributes:
-        weighed: whether engines load base models too, and have little room.
+        seed: seed of all random choices that the events leave open.
+        events: the events in order.
+        limited_memory: whether engines also load base models and have little
+            memory.
     """
 
     seed: int
     events: tuple[Event, ...]
-    weighed: bool = False
+    limited_memory: bool = False
 
 
 @singledispatch
-def _begin(event: Event, world: ExplorerWorld) -> float:
-    """Has an event happen; returns the seconds until the next."""
-    raise TypeError(f"no event: {event}")
+def _inject(event: Event, world: ExplorerWorld) -> float:
+    """Triggers an event; returns the seconds to wait before the next one."""
+    raise TypeError(f"cannot inject an unknown kind of event: {event}")
 
 
-@_begin.register
+@_inject.register
 def _(event: LoseAnswers, world: ExplorerWorld) -> float:
     until = world.loop.time() + event.seconds
-    world.late = Late(until, event.share, event.fates)
+    world.answer_loss = AnswerLoss(until, event.share, event.delays_seconds)
     return 0.0
 
 
-@_begin.register
+@_inject.register
 def _(event: Restart, world: ExplorerWorld) -> float:
     world.restart(event.engine, same_name=event.same_name)
     return 0.0
 
 
-@_begin.register
+@_inject.register
 def _(event: CutOff, world: ExplorerWorld) -> float:
     world.cut(event.engine, event.seconds)
     return 0.0
 
 
-@_begin.register
+@_inject.register
 def _(event: CutOneWay, world: ExplorerWorld) -> float:
     world.cut_one_way(event.engine, event.seconds, event.way)
     return 0.0
 
 
-@_begin.register
+@_inject.register
 def _(event: Leave, world: ExplorerWorld) -> float:
     world.leave(event.engine)
     return 0.0
 
 
-@_begin.register
+@_inject.register
 def _(event: ReplaceOwner, world: ExplorerWorld) -> float:
-    world.replace_owner(knows=event.knows)
+    world.replace_owner(knows_fleet=event.knows_fleet)
     return 0.0
 
 
-@_begin.register
-def _(event: Use, world: ExplorerWorld) -> float:
-    world.use(event.engine)
+@_inject.register
+def _(event: UseAdapter, world: ExplorerWorld) -> float:
+    world.use_adapter(event.engine)
     return 0.0
 
 
-@_begin.register
+@_inject.register
 def _(event: Pause, world: ExplorerWorld) -> float:
     return event.seconds
 
 
-async def _play(schedule: Schedule) -> tuple[list[str], ExplorerWorld]:
-    world = ExplorerWorld(schedule.seed, weighed=schedule.weighed)
+async def _run_schedule(schedule: Schedule) -> tuple[list[str], ExplorerWorld]:
+    world = ExplorerWorld(schedule.seed, limited_memory=schedule.limited_memory)
     world.start()
-    await asyncio.sleep(_BEGIN_SECONDS)
+    await asyncio.sleep(_START_UP_SECONDS)
     try:
         for event in schedule.events:
-            await asyncio.sleep(_begin(event, world))
-            if world.find_fallen():
+            await asyncio.sleep(_inject(event, world))
+            if world.find_overfull_engines():
                 break
-        found = await _calm(world)
+        violations = await _find_violations(world)
     finally:
         await world.stop()
-    return found, world
+    return violations, world
 
 
-async def _calm(world: ExplorerWorld) -> list[str]:
-    """Returns what doesn't hold once nothing new happens."""
-    calm_from = max(world.loop.time(), world.last_late_at) + _CALM_SECONDS
-    while world.loop.time() < calm_from and not world.find_fallen():
+async def _find_violations(world: ExplorerWorld) -> list[str]:
+    """Waits until all faults are over; returns the violated invariants."""
+    quiet_at = (
+        max(world.loop.time(), world.last_delayed_order_at) + _QUIET_SECONDS
+    )
+    while world.loop.time() < quiet_at and not world.find_overfull_engines():
         await asyncio.sleep(0.5)
-        calm_from = max(calm_from, world.last_late_at)
+        quiet_at = max(quiet_at, world.last_delayed_order_at)
     world.stop_callers()
     settled_at = world.loop.time() + _SETTLE_SECONDS
-    while world.loop.time() < settled_at and not world.find_fallen():
+    while world.loop.time() < settled_at and not world.find_overfull_engines():
         await asyncio.sleep(0.5)
-        if not world.unanswered_wants and not world.find_untrue_books():
+        if not world.pending_requests and not world.find_record_mismatches():
             break
-    if fallen := world.find_fallen():
-        return [f"{name} was ordered over its places" for name in fallen]
-    found = world.find_untrue_books()
-    if world.unanswered_wants:
-        found.append(f"{world.unanswered_wants} wants weren't answered")
+    if overfull := world.find_overfull_engines():
+        return [f"{name} was ordered beyond its capacity" for name in overfull]
+    violations = world.find_record_mismatches()
+    if world.pending_requests:
+        violations.append(
+            f"{world.pending_requests} requests for artifacts got no answer"
+        )
     if not await _is_served(world):
-        found.append("nothing is loaded any more")
-    return found
+        violations.append("no engine loads a requested adapter any more")
+    return violations
 
 
 async def _is_served(world: ExplorerWorld) -> bool:
-    """Whether an adapter is still brought to an engine when asked for."""
+    """Whether an engine still loads an adapter when one is requested."""
     until = world.loop.time() + _SETTLE_SECONDS
     while world.loop.time() < until:
-        if await world.want(world.find_usable_artifact()):
+        if await world.request_artifact(world.find_usable_artifact()):
             return True
         await asyncio.sleep(0.5)
     return False
 
 
-def play(schedule: Schedule) -> tuple[list[str], ExplorerWorld]:
-    """Plays a schedule; returns what didn't hold, and the world."""
+def run_schedule(schedule: Schedule) -> tuple[list[str], ExplorerWorld]:
+    """Runs a schedule; returns the violated invariants and the world."""
     loop = looptime.new_event_loop(start=0.0, noop_cycles=2)
     try:
-        return loop.run_until_complete(_play(schedule))
+        return loop.run_until_complete(_run_schedule(schedule))
     finally:
         loop.close()
 
 
-def draw_schedule(seed: int, *, wide: bool = False) -> Schedule:
+def generate_schedule(seed: int, *, wide: bool = False) -> Schedule:
     """Returns a random schedule.
 
     Args:
-        seed: of the schedule.
-        wide: whether engines also leave, are cut off one way and, in half of
-            the schedules, load base models.
+        seed: seed of the schedule.
+        wide: whether engines also leave, are disrupted in one direction and,
+            in half of the schedules, load base models.
     """
     rng = random.Random(seed)
-    makers = [*_make_makers(rng), *(_make_wide_makers(rng) if wide else ())]
+    makers = [
+        *_list_event_makers(rng),
+        *(_list_wide_event_makers(rng) if wide else ()),
+    ]
     weights = [weight for weight, _ in makers]
-    drawn = rng.choices(makers, weights, k=rng.randint(4, 12))
-    events = tuple(make() for _, make in drawn)
+    chosen = rng.choices(makers, weights, k=rng.randint(4, 12))
+    events = tuple(make() for _, make in chosen)
     return Schedule(seed, events, wide and rng.random() < 0.5)
 
 
-def _make_makers(rng: random.Random) -> list[tuple[int, Callable[[], Event]]]:
-    """Returns what draws an event of each kind, with how often."""
+def _list_event_makers(
+    rng: random.Random,
+) -> list[tuple[int, Callable[[], Event]]]:
+    """Returns a weight and a factory for each kind of event."""
     return [
         (
             3,
             lambda: LoseAnswers(
                 rng.choice((0.5, 2.0, 6.0)),
                 rng.choice((0.3, 0.6, 0.9)),
-                tuple(rng.choice(_FATES) for _ in range(3)),
+                tuple(rng.choice(_EXECUTION_DELAYS_SECONDS) for _ in range(3)),
             ),
         ),
         (2, lambda: Restart(rng.randrange(2), rng.random() < 0.8)),
         (1, lambda: CutOff(rng.randrange(2), rng.choice((0.3, 1.0, 3.0)))),
         (1, lambda: ReplaceOwner(rng.random() < 0.7)),
-        (1, lambda: Use(rng.randrange(2))),
+        (1, lambda: UseAdapter(rng.randrange(2))),
         (4, lambda: Pause(rng.choice((0.05, 0.2, 0.6, 1.5, 2.5)))),
     ]
 
 
-def _make_wide_makers(
+def _list_wide_event_makers(
     rng: random.Random,
 ) -> list[tuple[int, Callable[[], Event]]]:
     return [
@@ -272,7 +296,7 @@
 
 
 def shrink(schedule: Schedule, fails: Callable[[Schedule], bool]) -> Schedule:
-    """Leaves out events for as long as a schedule still fails."""
+    """Removes each event without which the schedule still fails."""
     for number in reversed(range(len(schedule.events))):
         events = (
             *schedule.events[:number],
--- a/testing/explorer/world.py
+++ b/testing/explorer/world.py
@@ -1,4 +1,4 @@
-"""An owner of the fleet over engines that lose answers, restart and leave."""
+"""Runs a fleet owner with simulated engines that fail, restart and leave."""
 
 import asyncio
 import collections
@@ -31,43 +31,50 @@
     make_table,
 )
 from testing.app.lone_node import NoPeers
-from testing.explorer.weighed import (
+from testing.explorer.memory_engine import (
     MODELS,
-    WeighedEngine,
-    make_weighed_table,
+    MemoryLimitedEngine,
+    make_memory_limited_table,
 )
 
-PLACES = 3
+ADAPTER_SLOTS = 3
 _NAME = "10.0.0.1:70"
 _SERVICE = "s"
-_ADAPTERS = 12
-_LEASE = 0.3
-_HEARTBEAT = 0.6
+_ADAPTER_COUNT = 12
+_LEASE_SECONDS = 0.3
+_HEARTBEAT_SECONDS = 0.6
 _TIMING = Timing(heartbeat=0.3, election_min=0.5, election_max=0.9)
-_WANT_EVERY = 0.12
-_FRONT_EVERY = 0.2
+_REQUEST_INTERVAL_SECONDS = 0.12
+_FRONT_INTERVAL_SECONDS = 0.2
 _USE_SECONDS = 0.5
-# How late heartbeats come that are late; longer than what they tell is doubted.
-_BEAT_LATE_SECONDS = 5.0
-# How long an engine goes on after it said that it leaves.
+# Delay of late heartbeats, longer than the lag that the owner allows for when
+# it compares a heartbeat with its records.
+_HEARTBEAT_DELAY_SECONDS = 5.0
+# How long an engine keeps running after it has announced that it leaves.
 _LEAVE_SECONDS = 1.0
-# Share of what is wanted that is a base model, where these are loaded.
+# Share of requests that ask for a base model, if engines load base models.
 _MODEL_SHARE = 0.1
-# The time of day at the start, in ms; the engines began long before.
+# Time of day at the start, in milliseconds. The engines started long before.
 _EPOCH_MS = 1_000_000
 
 
 @attrs.define
 class Machine:
-    """Where an engine runs, and the engine that runs there now.
+    """An address and the engine that currently runs there.
+
+    All times are in seconds of the event loop's clock.
 
     Attributes:
-        deaf_until: until when nothing reaches it.
-        mute_until: until when none of its answers come.
-        silent_until: until when its heartbeats are held back.
-        late_until: until when each heartbeat comes seconds late.
-        leaves: whether it says that it leaves.
-        held_back: heartbeats that a cut holds back.
+        address: `host:port` of the engine.
+        engine: the engine.
+        start: the start time that the engine reports, in milliseconds.
+        sequence: number of the last heartbeat.
+        deaf_until: until when no message reaches the engine.
+        mute_until: until when the engine's answers are lost.
+        silent_until: until when the engine's heartbeats are held back.
+        late_until: until when each heartbeat arrives 5 s late.
+        leaves: whether the engine announces that it leaves.
+        held_back: heartbeats that are delivered when `silent_until` has passed.
     """
 
     address: str
@@ -83,48 +90,53 @@
 
 
 @attrs.frozen
-class Late:
-    """How orders are answered for a while.
+class AnswerLoss:
+    """Loses the answers of some orders and delays their execution.
 
     Attributes:
-        until: when that ends.
-        share: of the orders that get no answer.
-        fates: after how many seconds each of those is carried out, in turn.
+        until: when this ends, in seconds of the event loop's clock.
+        share: share of the orders that is affected.
+        delays_seconds: execution delays, used in turn.
     """
 
     until: float = 0.0
     share: float = 0.0
-    fates: tuple[float, ...] = (2.0,)
+    delays_seconds: tuple[float, ...] = (2.0,)
 
 
 class ExplorerWorld:
-    """One owner at a time, two engines, wants that never end.
+    """One owner at a time, several engines and a steady load of requests.
 
     Args:
-        seed: decides which adapters are wanted and whose answers are lost.
-        count: how many engines there are.
-        weighed: whether engines load base models too, and have little room.
+        seed: decides which artifacts are requested and which answers are lost.
+        count: number of engines.
+        limited_memory: whether engines also load base models and have little
+            memory.
     """
 
     def __init__(
-        self, seed: int, count: int = 2, *, weighed: bool = False
+        self, seed: int, count: int = 2, *, limited_memory: bool = False
     ) -> None:
         self.loop = asyncio.get_running_loop()
         self.rng = random.Random(seed)
-        self._weighed = weighed
-        self._make_engine = WeighedEngine if weighed else SimulatedEngine
+        self._limited_memory = limited_memory
+        self._make_engine = (
+            MemoryLimitedEngine if limited_memory else SimulatedEngine
+        )
         self.machines = [
             Machine(
-                f"10.0.1.{n}:80", self._make_engine(f"u{n}", PLACES), 1000 + n
+                f"10.0.1.{n}:80",
+                self._make_engine(f"u{n}", ADAPTER_SLOTS),
+                1000 + n,
             )
             for n in range(count)
         ]
-        self.late = Late()
+        self.answer_loss = AnswerLoss()
         self.log: list[str] = []
-        self.unanswered_wants = 0
-        self.last_late_at = 0.0
-        self._fates: collections.deque[float] = collections.deque()
-        self._names = count
+        self.pending_requests = 0
+        self.last_delayed_order_at = 0.0
+        self._pending_delays: collections.deque[float] = collections.deque()
+        self._last_name_number = count
         self._storage = MemoryStorage(
             f"{_NAME}.a", make_initial_snapshot((f"{_NAME}.a",), b"")
         )
@@ -133,7 +145,7 @@
         self._node_tasks: list[asyncio.Task[Any]] = []
         self.owner = self._make_owner({})
 
-    # -- the owner -----------------------------------------------------
+    # -- owner ---------------------------------------------------------
 
     def _make_owner(self, upstreams: dict[str, Upstream]) -> FleetOwner:
         self._incarnation += 1
@@ -150,50 +162,63 @@
             run_blocking=_run_inline,
             rng=random.Random(self.rng.random()),
         )
-        follower = FleetClient(NoPeers(), lambda: _NAME, _NAME)
-        follower.view.upstreams = dict(upstreams)
+        client = FleetClient(NoPeers(), lambda: _NAME, _NAME)
+        client.view.upstreams = dict(upstreams)
         owner = FleetOwner(
             control,
-            follower,
+            client,
             self,  # type: ignore[arg-type]
             PlatformEngines(),
-            _LEASE,
-            _HEARTBEAT,
+            _LEASE_SECONDS,
+            _HEARTBEAT_SECONDS,
             lambda: self._time_of_day_ms() / 1000,
         )
-        make = make_weighed_table if self._weighed else make_table
-        owner.apply_table(make(_SERVICE, PLACES))
-        works = (control.driver.run(), owner.run(), owner.holder.run())
-        self._node_tasks = [asyncio.ensure_future(work) for work in works]
+        make_route_table = (
+            make_memory_limited_table if self._limited_memory else make_table
+        )
+        owner.apply_table(make_route_table(_SERVICE, ADAPTER_SLOTS))
+        coroutines = (control.driver.run(), owner.run(), owner.holder.run())
+        self._node_tasks = [
+            asyncio.ensure_future(coroutine) for coroutine in coroutines
+        ]
         return owner
 
-    def replace_owner(self, *, knows: bool) -> None:
-        """Loses the owner; its successor begins with an election.
+    def replace_owner(self, *, knows_fleet: bool) -> None:
+        """Ends the owner; its successor starts with an election.
 
         Args:
-            knows: whether the successor has followed the owner's news.
+            knows_fleet: whether the successor knows the upstreams that its
+                predecessor knew.
         """
         registry = self.owner._registry
-        known = dict(registry.upstreams) if registry and knows else {}
-        self._end_owner()
-        self.owner = self._make_owner(known)
+        known_upstreams = (
+            dict(registry.upstreams) if registry and knows_fleet else {}
+        )
+        self._stop_owner()
+        self.owner = self._make_owner(known_upstreams)
 
-    def _end_owner(self) -> None:
-        """Ends the owner as the end of its process does, timers included."""
+    def _stop_owner(self) -> None:
+        """Stops the owner and its timers, as if its process had ended."""
         loads = self.owner._loads
-        ended = [*self._node_tasks, *loads.engine_loads._tasks]
+        stopped_tasks = [*self._node_tasks, *loads.engine_loads._tasks]
         self.owner._engines.end()
         loads.end()
-        for task in ended:
+        for task in stopped_tasks:
             task.cancel()
-        self._tasks += ended
+        self._tasks += stopped_tasks
 
     # -- channels to engines -------------------------------------------
 
     async def send(
         self, address: str, request: HttpRequest
     ) -> SimulatedExchange:
-        """Carries an order or a question; some orders run late, unheard."""
+        """Delivers an order or a request for a report.
+
+        During `answer_loss` some orders get no answer and are executed later.
+
+        Raises:
+            ChannelError: if the engine exceeded its capacity, which ends it.
+        """
         await asyncio.sleep(0.002)
         now = self.loop.time()
         machine = next(m for m in self.machines if m.address == address)
@@ -203,34 +228,37 @@
         if machine.engine.is_overfull:
             raise ChannelError("connect", address, "refused", sent=False)
         if request.method == b"GET":
-            said = {**machine.engine.report(now), "born": machine.start}
+            report = {**machine.engine.report(now), "born": machine.start}
             if now < machine.mute_until:
                 return SimulatedExchange(0, b"")
-            return SimulatedExchange(200, msgspec.json.encode(said))
+            return SimulatedExchange(200, msgspec.json.encode(report))
         body = msgspec.json.decode(request.body)
-        if now < self.late.until and self.rng.random() < self.late.share:
-            if not self._fates:
-                self._fates.extend(self.late.fates)
-            after = self._fates.popleft()
-            self._note(f"{address} {body} runs in {after}")
-            self.last_late_at = max(self.last_late_at, now + after)
-            self.loop.call_later(
-                after, self._carry_out, machine, expected, body
+        if (
+            now < self.answer_loss.until
+            and self.rng.random() < self.answer_loss.share
+        ):
+            if not self._pending_delays:
+                self._pending_delays.extend(self.answer_loss.delays_seconds)
+            delay = self._pending_delays.popleft()
+            self._append_log(f"{address} {body} runs in {delay}")
+            self.last_delayed_order_at = max(
+                self.last_delayed_order_at, now + delay
             )
+            self.loop.call_later(delay, self._execute, machine, expected, body)
             return SimulatedExchange(0, b"")
-        status = self._carry_out(machine, expected, body)
+        status = self._execute(machine, expected, body)
         if now < machine.mute_until:
             return SimulatedExchange(0, b"")
         return SimulatedExchange(status, b"{}")
 
-    def _carry_out(
+    def _execute(
         self, machine: Machine, expected: str, body: dict[str, Any]
     ) -> int:
         engine = machine.engine
         if engine.name != expected or engine.is_overfull:
             return 421
         status = engine.handle_order(body, self.loop.time())
-        self._note(
+        self._append_log(
             f"{machine.address} {body['operation']}"
             f" {body.get('adapter') or body['model']}"
             f" at {body.get('expected_revision')}: {status},"
@@ -239,65 +267,70 @@
         return status
 
     def sweep(self) -> None:
-        """Closes nothing."""
+        """Does nothing: no connections are kept."""
 
-    def _note(self, text: str) -> None:
+    def _append_log(self, text: str) -> None:
         self.log.append(f"{self.loop.time():.3f} {text}")
 
     # -- engines -------------------------------------------------------
 
     def restart(self, number: int, *, same_name: bool) -> None:
-        """Starts an engine again; it holds nothing."""
+        """Restarts an engine, which then holds nothing.
+
+        Args:
+            number: index of its machine.
+            same_name: whether it keeps its name.
+        """
         machine = self.machines[number]
         name = machine.engine.name
         if not same_name:
-            self._names += 1
-            name = f"u{self._names}"
-        machine.engine = self._make_engine(name, PLACES)
+            self._last_name_number += 1
+            name = f"u{self._last_name_number}"
+        machine.engine = self._make_engine(name, ADAPTER_SLOTS)
         machine.leaves = False
         machine.start = self._time_of_day_ms()
         machine.sequence = 0
-        self._note(f"{machine.address} starts as {name} {machine.start}")
+        self._append_log(f"{machine.address} starts as {name} {machine.start}")
 
     def _time_of_day_ms(self) -> int:
         return _EPOCH_MS + int(self.loop.time() * 1000)
 
     def cut(self, number: int, seconds: float) -> None:
-        """Cuts an engine off; its heartbeats come when that ends."""
+        """Cuts an engine off; its heartbeats are delivered afterwards."""
         machine = self.machines[number]
         until = self.loop.time() + seconds
         machine.deaf_until = machine.silent_until = until
-        self._note(f"{machine.address} is cut off for {seconds}")
+        self._append_log(f"{machine.address} is cut off for {seconds}")
 
     def cut_one_way(self, number: int, seconds: float, way: str) -> None:
-        """Cuts an engine off one way.
+        """Disrupts messages from or to an engine in one direction.
 
         Args:
-            number: which engine.
-            seconds: for how long.
-            way: "deaf", "mute", "silent" or "late", as a machine's attributes
-                say.
+            number: index of its machine.
+            seconds: how long this lasts.
+            way: "deaf", "mute", "silent" or "late"; see the attributes of
+                `Machine`.
         """
         machine = self.machines[number]
         setattr(machine, f"{way}_until", self.loop.time() + seconds)
-        self._note(f"{machine.address} is {way} for {seconds}")
+        self._append_log(f"{machine.address} is {way} for {seconds}")
 
     def leave(self, number: int) -> None:
-        """Has an engine leave; another one begins at its address."""
+        """Has an engine leave; another one then starts at its address."""
         machine = self.machines[number]
         machine.leaves = True
-        self._note(f"{machine.address} leaves")
+        self._append_log(f"{machine.address} leaves")
         self.loop.call_later(
             _LEAVE_SECONDS, self._replace, number, machine.engine
         )
 
     def _replace(self, number: int, engine: SimulatedEngine) -> None:
-        """Starts another engine where one has left, unless one has already."""
+        """Replaces an engine that has left, unless it was replaced already."""
         if self.machines[number].engine is engine:
             self.restart(number, same_name=False)
 
-    def use(self, number: int) -> None:
-        """Has a request use something that an engine holds for a while."""
+    def use_adapter(self, number: int) -> None:
+        """Has a request use an adapter that an engine holds for a while."""
         engine = self.machines[number].engine
         if engine.held:
             adapter = self.rng.choice(sorted(engine.held))
@@ -306,19 +339,19 @@
                 _USE_SECONDS, engine.adapters_in_use.discard, adapter
             )
 
-    async def _beat(self) -> None:
+    async def _send_heartbeats(self) -> None:
         while True:
             for machine in self.machines:
-                self._beat_once(machine)
-            await asyncio.sleep(_HEARTBEAT)
+                self._send_heartbeat(machine)
+            await asyncio.sleep(_HEARTBEAT_SECONDS)
 
-    def _beat_once(self, machine: Machine) -> None:
+    def _send_heartbeat(self, machine: Machine) -> None:
         engine = machine.engine
         if engine.is_overfull:
             return
         engine.complete_due(self.loop.time())
         machine.sequence += 1
-        said = {
+        state = {
             "service": _SERVICE,
             "address": machine.address,
             "zone": "a",
@@ -328,118 +361,135 @@
             "born": machine.start,
             "models": engine.list_models(),
         }
-        beat = (engine.name, msgspec.json.encode(said))
+        heartbeat = (engine.name, msgspec.json.encode(state))
         if self.loop.time() < machine.late_until:
-            self.loop.call_later(_BEAT_LATE_SECONDS, self._hear, *beat)
+            self.loop.call_later(
+                _HEARTBEAT_DELAY_SECONDS, self._deliver_heartbeat, *heartbeat
+            )
             return
-        machine.held_back.append(beat)
+        machine.held_back.append(heartbeat)
         if self.loop.time() < machine.silent_until:
             return
         for name, body in machine.held_back:
-            self._hear(name, body)
+            self._deliver_heartbeat(name, body)
         machine.held_back.clear()
 
-    def _hear(self, name: str, body: bytes) -> None:
+    def _deliver_heartbeat(self, name: str, body: bytes) -> None:
         if self.owner.is_owner():
             self.owner.handle_heartbeat(read_heartbeat(name, body))
 
     # -- callers -------------------------------------------------------
 
-    async def _want(self) -> None:
+    async def _request_artifacts(self) -> None:
         while True:
-            artifact = self._draw_artifact()
-            self._tasks.append(asyncio.ensure_future(self.want(artifact)))
-            await asyncio.sleep(_WANT_EVERY)
+            artifact = self._choose_artifact()
+            self._tasks.append(
+                asyncio.ensure_future(self.request_artifact(artifact))
+            )
+            await asyncio.sleep(_REQUEST_INTERVAL_SECONDS)
 
-    def _draw_artifact(self) -> str:
-        adapter = int(self.rng.paretovariate(0.7)) % _ADAPTERS
-        if not self._weighed:
+    def _choose_artifact(self) -> str:
+        adapter = int(self.rng.paretovariate(0.7)) % _ADAPTER_COUNT
+        if not self._limited_memory:
             return f"{MODEL}/a{adapter}"
         model = self.rng.choice(MODELS)
         is_model = self.rng.random() < _MODEL_SHARE
         return model if is_model else f"{model}/a{adapter}"
 
     def find_usable_artifact(self) -> str:
-        """Returns an adapter of a model that some engine holds, if any does."""
+        """Returns a new adapter of a base model that some engine holds.
+
+        If no engine holds a base model, the adapter is one of `MODEL`.
+        """
         held = {a for m in self.machines for a in m.engine.artifacts()}
         usable = (model for model in MODELS if model in held)
-        return f"{next(usable, MODEL)}/a{_ADAPTERS}"
+        return f"{next(usable, MODEL)}/a{_ADAPTER_COUNT}"
 
-    async def want(self, artifact: str) -> bool:
-        """Asks for an artifact; returns whether an engine then holds it."""
+    async def request_artifact(self, artifact: str) -> bool:
+        """Requests an artifact; returns whether an engine then holds it."""
         want = WantArtifact(_SERVICE, artifact, 0, (), 1.0)
-        self.unanswered_wants += 1
+        self.pending_requests += 1
         answer: ArtifactReady = await self.owner.handle_want(want)
-        self.unanswered_wants -= 1
+        self.pending_requests -= 1
         return bool(answer.upstream)
 
-    async def _front(self) -> None:
+    async def _run_front(self) -> None:
         while True:
-            using = {}
+            requests_by_engine = {}
             if self.owner.is_owner():
                 for engine in self.owner._placement.engines.values():
-                    machine = self._machine_of(engine.address)
-                    used = map(
+                    machine = self._find_machine(engine.address)
+                    artifacts_in_use = map(
                         machine.engine.artifact, machine.engine.adapters_in_use
                     )
-                    using[engine.name] = dict.fromkeys(used, 1)
+                    requests_by_engine[engine.name] = dict.fromkeys(
+                        artifacts_in_use, 1
+                    )
                 self.owner._record_front(
-                    "f1", WatchFleet(0, 0, 0.0, True, {}, using)
+                    "f1", WatchFleet(0, 0, 0.0, True, {}, requests_by_engine)
                 )
             for machine in self.machines:
                 machine.engine.report(self.loop.time())
-            await asyncio.sleep(_FRONT_EVERY)
+            await asyncio.sleep(_FRONT_INTERVAL_SECONDS)
 
-    def _machine_of(self, address: str) -> Machine:
+    def _find_machine(self, address: str) -> Machine:
         return next(m for m in self.machines if m.address == address)
 
-    # -- all -----------------------------------------------------------
+    # -- running -------------------------------------------------------
 
     def start(self) -> None:
-        """Has engines beat and callers ask."""
-        for work in (self._beat(), self._want(), self._front()):
-            self._tasks.append(asyncio.ensure_future(work))
+        """Starts heartbeats, requests for artifacts and the front."""
+        for coroutine in (
+            self._send_heartbeats(),
+            self._request_artifacts(),
+            self._run_front(),
+        ):
+            self._tasks.append(asyncio.ensure_future(coroutine))
 
     def stop_callers(self) -> None:
-        """Ends what asks; what was asked goes on."""
+        """Stops new requests; pending requests continue."""
         self._tasks[1].cancel()
 
     async def stop(self) -> None:
-        """Ends all."""
-        self._end_owner()
+        """Stops the owner and all tasks.
+
+        Raises:
+            Exception: the first failure of a task.
+        """
+        self._stop_owner()
         for task in self._tasks:
             task.cancel()
-        ended = await asyncio.gather(*self._tasks, return_exceptions=True)
-        for outcome in ended:
-            # A world without fronts or heartbeats finds nothing.
+        outcomes = await asyncio.gather(*self._tasks, return_exceptions=True)
+        for outcome in outcomes:
+            # A schedule proves nothing if heartbeats or the front have failed.
             if isinstance(outcome, Exception):
                 raise outcome
 
-    # -- what must hold ------------------------------------------------
+    # -- invariants ----------------------------------------------------
 
-    def find_fallen(self) -> list[str]:
-        """Returns the engines that were ordered over their places."""
+    def find_overfull_engines(self) -> list[str]:
+        """Returns the engines that were ordered beyond their capacity."""
         return [m.engine.name for m in self.machines if m.engine.is_overfull]
 
-    def find_untrue_books(self) -> list[str]:
-        """Returns where the owner's books differ from the engines' truth."""
-        found = []
+    def find_record_mismatches(self) -> list[str]:
+        """Returns differences between the owner's records and the engines."""
+        violations = []
         for machine in self.machines:
             engine = machine.engine
             engine.complete_due(self.loop.time())
-            books = self._find_books(machine)
-            if books is None:
-                found.append(f"{engine.name} isn't known")
+            record = self._find_owner_record(machine)
+            if record is None:
+                violations.append(f"{engine.name} has no record at the owner")
                 continue
-            truth = engine.artifacts()
-            if books.possible_artifacts() != truth:
-                found.append(
-                    f"{engine.name} holds {sorted(truth)},"
-                    f" believed {sorted(books.possible_artifacts())}"
+            held = engine.artifacts()
+            if record.possible_artifacts() != held:
+                violations.append(
+                    f"{engine.name} holds {sorted(held)},"
+                    f" recorded {sorted(record.possible_artifacts())}"
                 )
-        return found
+        return violations
 
-    def _find_books(self, machine: Machine) -> Any:
+    def _find_owner_record(self, machine: Machine) -> Any:
         for engine in self.owner._placement.engines.values():
             is_same = engine.instance == machine.engine.name
             if is_same and engine.start == machine.start:
