--- a/testing/explorer/world.py
+++ b/testing/explorer/world.py
@@ -266,7 +266,7 @@
         )
         return status
 
-    def sweep(self) -> None:
+    def prune(self) -> None:
         """Does nothing: no connections are kept."""
 
     def _append_log(self, text: str) -> None:
