--- a/bench/routing.py
+++ b/bench/routing.py
@@ -39,7 +39,7 @@
     count_offline_misses,
     make_trace,
 )
-from testing.world import RunnerPlace, World
+from testing.world import RunnerSpec, World
 
 _SEEDS = (1, 2, 3)
 _OURS = "ridgesill"
@@ -276,7 +276,7 @@
         self._rng = random.Random(replay.run.seed)
         self._loop = asyncio.get_running_loop()
         runners = [
-            RunnerPlace(
+            RunnerSpec(
                 f"r{number}",
                 site.service,
                 site.places[number % len(site.places)],
@@ -286,7 +286,7 @@
             for number in range(site.runners)
         ]
         runners += [
-            RunnerPlace(f"p{n}", site.plain, place, EngineModel(slots=0), 32)
+            RunnerSpec(f"p{n}", site.plain, place, EngineModel(slots=0), 32)
             for n, place in enumerate(site.places)
         ]
         nodes = [site.places[n % len(site.places)] for n in range(6)]
@@ -298,7 +298,7 @@
     def model_engines(self) -> list[Engine]:
         """Returns the engines of the model service."""
         service = self._replay.site.service
-        places = self.world.places
+        places = self.world.runner_specs
         return [
             engine
             for name, engine in self.world.engines.items()
--- a/testing/constants.py
+++ b/testing/constants.py
@@ -1,6 +1,6 @@
-"""The page of all named figures: written and checked from the code.
+"""Generates the reference page of all constants from the source code.
 
-`python -m testing.constants` writes it anew.
+`python -m testing.constants` writes the page.
 """
 
 import ast
@@ -25,7 +25,7 @@
 
 @attrs.frozen
 class Constant:
-    """A module-level figure."""
+    """A numeric constant of a module and the comment above it."""
 
     module: str
     name: str
@@ -34,7 +34,7 @@
 
 
 def read_constants() -> Iterator[Constant]:
-    """Yields the figures of all modules."""
+    """Yields the numeric constants of all modules but generated ones."""
     for path in sorted(_SOURCES.rglob("*.py")):
         if "wire" not in path.parts:
             yield from _read_module(path)
@@ -50,14 +50,14 @@
         target = node.targets[0]
         if not isinstance(target, ast.Name) or not _NAME.match(target.id):
             continue
-        if _is_figure(node.value):
+        if _is_numeric(node.value):
             value = ast.unparse(node.value)
             comment = _comment_above(lines, node.lineno - 1)
             yield Constant(module, target.id, value, comment)
 
 
-def _is_figure(value: ast.expr) -> bool:
-    """Whether a value is a number, or worked out from numbers alone."""
+def _is_numeric(value: ast.expr) -> bool:
+    """Whether an expression contains only numbers and arithmetic."""
     parts = [n for n in ast.walk(value) if isinstance(n, ast.expr)]
     numbers = [n for n in parts if isinstance(n, ast.Constant)]
     if not numbers or any(isinstance(n.value, str | bytes) for n in numbers):
@@ -67,7 +67,7 @@
 
 
 def _comment_above(lines: list[str], index: int) -> str:
-    """Returns the comment over a line, or over the figures just before it."""
+    """Returns the comment above a line and the constants just before it."""
     index -= 1
     while index >= 0 and _NAME.match(lines[index].partition(" = ")[0]):
         index -= 1
@@ -79,7 +79,7 @@
 
 
 def write_page() -> str:
-    """Returns the page."""
+    """Returns the text of the page."""
     parts = [_HEAD]
     module = ""
     for constant in read_constants():
--- a/testing/known_red.py
+++ b/testing/known_red.py
@@ -1,6 +1,6 @@
-"""Runs the tests; passes over just those that KNOWN-RED.txt lists.
+"""Runs pytest and tolerates failures only of tests listed in KNOWN-RED.txt.
 
-A listed test that passes fails the run too, so that the list stays true.
+The run also fails if a listed test passes, so that the list stays up to date.
 """
 
 import sys
@@ -9,9 +9,9 @@
 
 import pytest
 
-_LIST = Path(__file__).parent.parent / "KNOWN-RED.txt"
-_MOST = 3
-_NO_TESTS = 5
+_LIST_PATH = Path(__file__).parent.parent / "KNOWN-RED.txt"
+_MAX_TESTS = 3
+_NO_TESTS_RAN = 5
 
 
 class _Outcomes:
@@ -22,7 +22,7 @@
         self.ran: set[str] = set()
 
     def pytest_runtest_logreport(self, report: Any) -> None:
-        """Notes a phase of a test."""
+        """Records the outcome of one phase of a test."""
         if report.when == "call":
             self.ran.add(report.nodeid)
         if report.failed:
@@ -30,31 +30,39 @@
 
 
 def read_list() -> dict[str, str]:
-    """Returns the listed tests and their lines."""
-    if not _LIST.exists():
+    """Returns the line of each listed test, by test id.
+
+    Raises:
+        SystemExit: if the list is too long.
+    """
+    if not _LIST_PATH.exists():
         return {}
-    lines = [line for line in _LIST.read_text().splitlines() if line.strip()]
-    if len(lines) > _MOST:
-        raise SystemExit(f"{_LIST.name} lists over {_MOST} tests")
+    lines = [
+        line for line in _LIST_PATH.read_text().splitlines() if line.strip()
+    ]
+    if len(lines) > _MAX_TESTS:
+        raise SystemExit(
+            f"{_LIST_PATH.name} lists more than {_MAX_TESTS} tests: fix one"
+        )
     return {line.split(",")[0].strip(): line for line in lines}
 
 
 def main() -> int:
-    """Runs pytest; returns its verdict but for the listed tests."""
+    """Runs pytest; returns an exit code that ignores listed failures."""
     known = read_list()
     outcomes = _Outcomes()
-    code = int(pytest.main(sys.argv[1:], plugins=[outcomes]))
+    exit_code = int(pytest.main(sys.argv[1:], plugins=[outcomes]))
     for line in known.values():
         print(f"known red: {line}")
-    if code not in (0, 1):
-        return code
+    if exit_code not in (0, 1):
+        return exit_code
     if not outcomes.ran:
-        return _NO_TESTS
+        return _NO_TESTS_RAN
     unexpected = outcomes.failed - set(known)
-    mended = (outcomes.ran & set(known)) - outcomes.failed
-    for test in sorted(mended):
-        print(f"{test} passes now: take it off {_LIST.name}")
-    return 1 if unexpected or mended else 0
+    passing = (outcomes.ran & set(known)) - outcomes.failed
+    for test in sorted(passing):
+        print(f"{test} passes now: remove it from {_LIST_PATH.name}")
+    return 1 if unexpected or passing else 0
 
 
 if __name__ == "__main__":
--- a/testing/processes.py
+++ b/testing/processes.py
@@ -1,4 +1,4 @@
-"""Real processes on loopback, for tests, the demo and measurements."""
+"""Runs nodes and stand-ins as processes on loopback."""
 
 import contextlib
 import os
@@ -17,33 +17,42 @@
 import urllib3
 
 _START_SECONDS = 30.0
-_POLL = 0.05
-_HELD: list[socket.socket] = []
+_POLL_SECONDS = 0.05
+_RESERVED_SOCKETS: list[socket.socket] = []
 
 
 def free_address() -> str:
-    """Returns a loopback address that the OS has just found free.
+    """Returns a free loopback address, `host:port`.
 
-    The socket stays bound, without listening, so that the OS gives the port
-    to nobody else; a listener that allows reuse may still bind to it. Two
-    nodes were once given the same port (issue 3).
+    The socket stays bound, without listening, so that the OS gives the port to
+    no other socket; otherwise two nodes may get the same port. A listener that
+    sets SO_REUSEADDR can still bind to it.
     """
-    held = socket.socket()
-    held.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    held.bind(("127.0.0.1", 0))
-    _HELD.append(held)
-    return f"127.0.0.1:{held.getsockname()[1]}"
+    reserved = socket.socket()
+    reserved.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    reserved.bind(("127.0.0.1", 0))
+    _RESERVED_SOCKETS.append(reserved)
+    return f"127.0.0.1:{reserved.getsockname()[1]}"
 
 
-def wait_until(condition: Any, what: str, seconds: float = 30.0) -> Any:
-    """Returns a condition's first true value, or fails after `seconds`."""
+def wait_until(condition: Any, description: str, seconds: float = 30.0) -> Any:
+    """Polls a condition and returns its first true value.
+
+    Args:
+        condition: called without arguments.
+        description: what is waited for, for the error.
+        seconds: timeout.
+
+    Raises:
+        AssertionError: if the condition isn't true in time.
+    """
     deadline = time.monotonic() + seconds
     while time.monotonic() < deadline:
         value = condition()
         if value:
             return value
-        time.sleep(_POLL)
-    raise AssertionError(f"{what}: not within {seconds} s")
+        time.sleep(_POLL_SECONDS)
+    raise AssertionError(f"{description}: not within {seconds} s")
 
 
 @attrs.define
@@ -55,36 +64,39 @@
     process: subprocess.Popen | None = None
 
     def start(self) -> None:
-        """Starts it."""
-        with self.output.open("ab") as out:
+        """Starts the process; its output is appended to `output`."""
+        with self.output.open("ab") as output_file:
             self.process = subprocess.Popen(
-                self.command, stdout=out, stderr=out, stdin=subprocess.DEVNULL
+                self.command,
+                stdout=output_file,
+                stderr=output_file,
+                stdin=subprocess.DEVNULL,
             )
 
     @property
     def pid(self) -> int:
-        """Its process id."""
+        """Process id."""
         assert self.process is not None
         return self.process.pid
 
     @property
     def is_running(self) -> bool:
-        """Whether it has not ended."""
+        """Whether the process was started and has not ended."""
         return self.process is not None and self.process.poll() is None
 
     def signal(self, number: int) -> None:
-        """Sends it a signal."""
+        """Sends a signal if the process is running."""
         if self.is_running:
             os.kill(self.pid, number)
 
     def kill(self) -> None:
-        """Ends it at once."""
+        """Sends SIGKILL and waits for the end of the process."""
         self.signal(signal.SIGKILL)
         if self.process is not None:
             self.process.wait(10)
 
     def stop(self, seconds: float = 30.0) -> int:
-        """Asks it to stop and returns its exit code."""
+        """Sends SIGTERM, also to a suspended process; returns the exit code."""
         self.signal(signal.SIGCONT)
         self.signal(signal.SIGTERM)
         assert self.process is not None
@@ -92,13 +104,20 @@
 
 
 def ridgesill(*arguments: str) -> list[str]:
-    """Returns the command that runs the program with arguments."""
+    """Returns the command that runs ridgesill with these arguments."""
     return [sys.executable, "-m", "ridgesill.app.cli", *arguments]
 
 
 @attrs.define
 class NodeHandle:
-    """A node's process and its addresses."""
+    """A node's process and its addresses.
+
+    Attributes:
+        callers: address for callers.
+        admin: address of the administration interface.
+        runners: address for announcements of runners.
+        peers: address for other nodes.
+    """
 
     name: str
     data_centre: str
@@ -126,15 +145,15 @@
         return self.folder / f"{self.name}.log"
 
     def is_ready(self) -> bool:
-        """Whether its readiness endpoint says so."""
+        """Whether its readiness endpoint answers 200."""
         return self.get(self.callers, "/readyz") == 200
 
     def is_live(self) -> bool:
-        """Whether it answers at all."""
+        """Whether its liveness endpoint answers 200."""
         return self.get(self.callers, "/livez") == 200
 
     def get(self, address: str, path: str) -> int:
-        """Returns the status of a GET, or 0."""
+        """Returns the HTTP status of a GET request, or 0 without an answer."""
         try:
             return urllib3.request(
                 "GET", f"http://{address}{path}", timeout=2, retries=False
@@ -145,7 +164,12 @@
 
 @attrs.define
 class StandInHandle:
-    """A stand-in's process and its addresses."""
+    """A stand-in's process and its address.
+
+    Attributes:
+        engine: further keys of the settings section `engine`.
+        listen: address that it listens on.
+    """
 
     name: str
     service: str
@@ -164,11 +188,11 @@
 
     @property
     def journal(self) -> Path:
-        """Path of its journal."""
+        """Path of the journal, a file with one JSON event per line."""
         return self.folder / f"{self.name}.journal"
 
     def events(self) -> list[dict[str, Any]]:
-        """Returns what its journal lists."""
+        """Returns the events in its journal; none if there is no journal."""
         if not self.journal.exists():
             return []
         lines = self.journal.read_bytes().splitlines()
@@ -176,11 +200,11 @@
 
 
 class Deployment:
-    """Nodes and stand-ins under one folder; ends all it started.
+    """Nodes and stand-ins whose files are in one folder.
 
     Args:
-        folder: where settings, data and logs go.
-        settings: more sections and keys of every node.
+        folder: folder for settings, data and logs.
+        settings: additional settings of every node, by section and key.
     """
 
     def __init__(
@@ -192,15 +216,15 @@
         self.token = secrets.token_hex(16)
         self.token_file = folder / "token"
         self.token_file.write_text(self.token)
-        self._extra = settings or {}
+        self._extra_settings = settings or {}
         self._started: list[RunningProcess] = []
 
-    # -- making -----------------------------------------------------------
+    # -- setup ------------------------------------------------------------
 
     def add_node(
         self, name: str, data_centre: str, *, voter: bool = False
     ) -> NodeHandle:
-        """Adds a node; it is started by `start_node`."""
+        """Adds a node, which `start_node` starts."""
         node = NodeHandle(name, data_centre, self.folder, voter)
         self.nodes[name] = node
         return node
@@ -208,7 +232,7 @@
     def add_stand_in(
         self, name: str, service: str, data_centre: str, **fields: Any
     ) -> StandInHandle:
-        """Adds a stand-in; it is started by `start_stand_in`."""
+        """Adds a stand-in, which `start_stand_in` starts."""
         stand_in = StandInHandle(
             name, service, data_centre, self.folder, **fields
         )
@@ -216,7 +240,7 @@
         return stand_in
 
     def write_settings(self) -> None:
-        """Writes the settings of all that was added."""
+        """Writes the settings files of all nodes and stand-ins."""
         for node in self.nodes.values():
             node.settings.write_text(self._node_settings(node))
         for stand_in in self.stand_ins.values():
@@ -240,17 +264,19 @@
         }
         if node.is_voter:
             sections["node"]["data_folder"] = node.data_folder
-        for name, extra in self._extra.items():
+        for name, extra in self._extra_settings.items():
             sections[name] = {**sections.get(name, {}), **extra}
         return _ini(sections)
 
     def _stand_in_settings(self, stand_in: StandInHandle) -> str:
-        near = [
+        local_addresses = [
             node.runners
             for node in self.nodes.values()
             if node.data_centre == stand_in.data_centre
         ]
-        announce = near or [node.runners for node in self.nodes.values()]
+        announce = local_addresses or [
+            node.runners for node in self.nodes.values()
+        ]
         sections = {
             "stand-in": {
                 "name": stand_in.name,
@@ -268,14 +294,14 @@
 
     # -- running ------------------------------------------------------------
 
-    def found(self) -> None:
-        """Founds the log of the voters."""
+    def initialize_log(self) -> None:
+        """Creates the initial log on each voter, with the command `found`."""
         for node in self.nodes.values():
             if node.is_voter:
                 self.run("found", str(node.settings))
 
     def start_all(self) -> None:
-        """Starts all that was added and waits until it answers."""
+        """Starts all nodes and stand-ins and waits until the nodes are live."""
         for name in self.nodes:
             self.start_node(name)
         for name in self.stand_ins:
@@ -296,8 +322,8 @@
         )
 
     def wait_serving(self) -> None:
-        """Waits until every running node serves and knows all owners."""
-        wanted = {
+        """Waits until each running node is ready and knows all owners."""
+        expected_pools = {
             f"{s.data_centre}/{s.service}"
             for s in self.stand_ins.values()
             if s.running and s.running.is_running
@@ -309,7 +335,7 @@
 
             def knows_owners(node: NodeHandle = node) -> bool:
                 status = self.status(node)
-                return bool(status) and wanted <= {
+                return bool(status) and expected_pools <= {
                     pool["pool"] for pool in status["pools"]
                 }
 
@@ -322,25 +348,34 @@
         return running
 
     def run(self, *arguments: str, check: bool = True) -> str:
-        """Runs a command of the program to its end; returns its output."""
-        done = subprocess.run(
+        """Runs a ridgesill command to its end.
+
+        Returns:
+            Standard output followed by standard error.
+
+        Raises:
+            AssertionError: if `check` is set and the command fails.
+        """
+        completed = subprocess.run(
             ridgesill(*arguments),
             capture_output=True,
             text=True,
             timeout=60,
             check=False,
         )
-        if check and done.returncode:
-            raise AssertionError(f"{arguments}: {done.stdout}{done.stderr}")
-        return done.stdout + done.stderr
+        if check and completed.returncode:
+            raise AssertionError(
+                f"{arguments}: {completed.stdout}{completed.stderr}"
+            )
+        return completed.stdout + completed.stderr
 
     def close(self) -> None:
-        """Ends every process that was started."""
+        """Kills every process that was started, also suspended ones."""
         for running in self._started:
             running.signal(signal.SIGCONT)
             running.kill()
 
-    # -- using ----------------------------------------------------------------
+    # -- administration -------------------------------------------------------
 
     def admin(
         self,
@@ -350,14 +385,24 @@
         body: bytes = b"",
         headers: dict[str, str] | None = None,
     ) -> Any:
-        """Returns a node's administration answer, or None without one."""
-        sent = {"Authorization": f"Bearer {self.token}", **(headers or {})}
+        """Sends a request to a node's administration interface.
+
+        Returns:
+            The decoded answer, or None if there is none.
+
+        Raises:
+            AssertionError: if the answer has no body.
+        """
+        request_headers = {
+            "Authorization": f"Bearer {self.token}",
+            **(headers or {}),
+        }
         try:
             answer = urllib3.request(
                 method,
                 f"http://{node.admin}{path}",
                 body=body,
-                headers=sent,
+                headers=request_headers,
                 timeout=15,
                 retries=False,
             )
@@ -372,11 +417,11 @@
         return self.admin(node, "GET", "/v1/status")
 
     def show(self, node: NodeHandle) -> Any:
-        """Returns what a node has in force."""
+        """Returns the configuration that is in force on a node."""
         return self.admin(node, "GET", "/v1/configuration")
 
     def leader(self) -> NodeHandle | None:
-        """Returns the node that says that it leads."""
+        """Returns the node that reports itself as leader, or None."""
         for node in self.nodes.values():
             if node.running and node.running.is_running:
                 status = self.status(node)
@@ -385,7 +430,7 @@
         return None
 
     def apply(self, node: NodeHandle, text: str, operation: str = "") -> str:
-        """Applies a configuration's text through the command line."""
+        """Applies a configuration on the command line; returns the output."""
         path = self.folder / f"apply-{secrets.token_hex(3)}.ini"
         path.write_text(text)
         return self.run(
@@ -409,10 +454,10 @@
 
 @contextlib.contextmanager
 def deployed(deployment: Deployment) -> Iterator[Deployment]:
-    """Founds and starts a deployment; ends it in any case."""
+    """Starts a deployment with a new log and kills its processes at the end."""
     try:
         deployment.write_settings()
-        deployment.found()
+        deployment.initialize_log()
         deployment.start_all()
         yield deployment
     finally:
--- a/testing/test_build.py
+++ b/testing/test_build.py
@@ -1,4 +1,4 @@
-"""Tests of the program as one file."""
+"""Tests of the program that is built as a single file."""
 
 import os
 import sys
@@ -22,12 +22,12 @@
 
 
 class _ChildWatch(threading.Thread):
-    """Looks for children of processes until stopped."""
+    """Collects the child processes of all nodes until stopped."""
 
     def __init__(self, deployment: Deployment) -> None:
         super().__init__(daemon=True)
-        self.found: set[str] = set()
-        self.looks = 0
+        self.children: set[str] = set()
+        self.poll_count = 0
         self.stopped = threading.Event()
         self._deployment = deployment
 
@@ -35,18 +35,18 @@
         while not self.stopped.is_set():
             for node in list(self._deployment.nodes.values()):
                 if node.running and node.running.is_running:
-                    self._look(node.running.pid)
-            self.looks += 1
+                    self._collect_children(node.running.pid)
+            self.poll_count += 1
 
-    def _look(self, pid: int) -> None:
+    def _collect_children(self, pid: int) -> None:
         for task in Path(f"/proc/{pid}/task").glob("*/children"):
             try:
-                self.found.update(task.read_text().split())
+                self.children.update(task.read_text().split())
             except OSError:
                 continue
 
 
-class TestOneFile:
+class TestSingleFile:
     @pytest.fixture
     def deployment(
         self, program: Path, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
@@ -54,8 +54,8 @@
         monkeypatch.setenv("SHIV_ROOT", str(tmp_path / "unpacked"))
         monkeypatch.setenv("HOME", str(tmp_path / "home"))
         monkeypatch.delenv("PYTHONPATH", raising=False)
-        # The interpreter itself: a version manager's wrapper of that name
-        # is a shell script, which starts children of its own.
+        # The folder of the real interpreter comes first: a version manager's
+        # wrapper is a shell script, which starts child processes itself.
         interpreter = Path(sys.executable).resolve().parent
         monkeypatch.setenv("PATH", f"{interpreter}:{os.environ['PATH']}")
         monkeypatch.chdir(tmp_path)
@@ -65,7 +65,7 @@
         )
         yield make_small_deployment(tmp_path)
 
-    def test_it_serves_and_starts_no_child(
+    def test_it_serves_without_child_processes(
         self, deployment: Deployment, tmp_path: Path
     ) -> None:
         watch = _ChildWatch(deployment)
@@ -75,13 +75,13 @@
             assert chat(deployment.nodes["n1"], "a1").status == 200
             watch.stopped.set()
             watch.join()
-        assert watch.looks > 10
-        assert not watch.found
+        assert watch.poll_count > 10
+        assert not watch.children
         assert (tmp_path / "unpacked").is_dir()
         assert not (tmp_path / "home").exists()
 
 
 class TestCommandLine:
-    def test_the_harness_runs_this_tree_by_default(self) -> None:
+    def test_tests_run_the_source_tree_by_default(self) -> None:
         assert ridgesill("check", "x")[1:3] == ["-m", "ridgesill.app.cli"]
         assert os.access(ridgesill()[0], os.X_OK)
--- a/testing/test_constants.py
+++ b/testing/test_constants.py
@@ -1,20 +1,20 @@
-"""Tests of the page of named figures."""
+"""Tests of the generated reference page of constants."""
 
 from testing.constants import PAGE, read_constants, write_page
 
 
 class TestPage:
-    def test_it_says_what_the_code_says(self) -> None:
-        # `python -m testing.constants` writes it anew.
+    def test_it_matches_the_code(self) -> None:
+        # If this fails, `python -m testing.constants` writes the page again.
         assert PAGE.read_text() == write_page()
 
-    def test_every_figure_on_the_platform_says_where_it_comes_from(
+    def test_every_platform_constant_has_a_comment(
         self,
     ) -> None:
         parts = ("core/fleet/", "core/serving/", "app/f", "app/engine_")
-        bare = [
+        without_comment = [
             f"{constant.module}: {constant.name}"
             for constant in read_constants()
             if constant.module.startswith(parts) and not constant.comment
         ]
-        assert not bare
+        assert not without_comment
--- a/testing/world.py
+++ b/testing/world.py
@@ -1,8 +1,7 @@
-"""The real decisions of several nodes over fake ports, on a paused clock.
+"""Runs the `Entry` and `Pools` of several nodes over fake ports.
 
-Nodes' `Entry` and `Pools` are the real ones. Messages between them take a
-fixed time, the control plane's state is given, and runners are the engine
-model in the same loop.
+Messages between nodes take a fixed time, the control plane's state is given,
+and runners are engine models. All run in one event loop on a simulated clock.
 """
 
 import asyncio
@@ -29,45 +28,49 @@
     OrderError,
 )
 
-_LATENCY = 0.0005
-_ANNOUNCE_EVERY = 1.0
+_LATENCY_SECONDS = 0.0005
+_ANNOUNCE_INTERVAL_SECONDS = 1.0
 
 
 class FakePeers:
-    """Delivers messages between the nodes of a world."""
+    """Delivers messages between the nodes of a `World`."""
 
     def __init__(self, world: "World", address: str) -> None:
         self._world = world
         self._address = address
 
     def send(self, address: str, message: Any) -> None:
-        """Delivers a message after a while."""
+        """Delivers a message after the fixed latency."""
         loop = asyncio.get_running_loop()
-        loop.call_later(_LATENCY, self._world.deliver, address, message)
+        loop.call_later(_LATENCY_SECONDS, self._world.deliver, address, message)
 
     async def call(self, address: str, message: Any, timeout: float) -> Any:
-        """Returns the answer, or raises `PeerError`."""
-        await asyncio.sleep(_LATENCY)
-        handler = self._world.handler(address)
+        """Sends a message and returns the answer.
+
+        Raises:
+            PeerError: if there is no answer within `timeout` seconds.
+        """
+        await asyncio.sleep(_LATENCY_SECONDS)
+        handler = self._world.make_handler(address)
         try:
             answer = await asyncio.wait_for(handler(message), timeout)
         except TimeoutError as error:
             step = type(message).__name__
             raise PeerError(step, address, "no answer in time") from error
-        await asyncio.sleep(_LATENCY)
+        await asyncio.sleep(_LATENCY_SECONDS)
         return answer
 
 
 class FakeOrders:
-    """Gives orders to engines of the same loop."""
+    """Delivers orders to engines in the same event loop."""
 
     def __init__(self, engines: dict[str, Engine]) -> None:
         self._engines = engines
 
     async def send(self, order: Order) -> str:
-        """Returns what became of an order."""
+        """Executes an order; returns "done" or "failed"."""
         engine = self._engines[order.runner]
-        await asyncio.sleep(_LATENCY)
+        await asyncio.sleep(_LATENCY_SECONDS)
         try:
             if order.action == LOAD:
                 await engine.load(order.adapter, order.epoch)
@@ -82,7 +85,7 @@
 
 @attrs.define
 class FakeNode:
-    """A node of the world."""
+    """A node with its real `Entry` and `Pools`."""
 
     node: Node
     entry: Entry
@@ -90,11 +93,11 @@
 
 
 @attrs.frozen
-class RunnerPlace:
-    """Where a runner of the world stands.
+class RunnerSpec:
+    """Describes a runner.
 
     Attributes:
-        capacity: requests that the owner may give it at once.
+        capacity: how many requests the owner may assign to it at once.
     """
 
     name: str
@@ -105,10 +108,10 @@
 
 
 class World:
-    """Nodes and runners.
+    """Nodes and runners in one event loop.
 
     Args:
-        nodes: data centres of the nodes, one for each.
+        nodes: the data centre of each node.
         runners: the runners.
         state: the configuration in force; nodes and owners are added to it.
         limits: limits of all pools.
@@ -118,18 +121,18 @@
     def __init__(
         self,
         nodes: list[str],
-        runners: list[RunnerPlace],
+        runners: list[RunnerSpec],
         state: State,
         limits: PoolLimits,
         rng: random.Random,
     ) -> None:
         self.state = state
         self.engines: dict[str, Engine] = {}
-        self.places = {place.name: place for place in runners}
+        self.runner_specs = {spec.name: spec for spec in runners}
         self.nodes: dict[str, FakeNode] = {}
         self.tasks: list[asyncio.Task[None]] = []
-        for place in runners:
-            self.engines[place.name] = Engine(place.model, rng)
+        for spec in runners:
+            self.engines[spec.name] = Engine(spec.model, rng)
         for number, data_centre in enumerate(nodes):
             self._add_node(f"n{number}", data_centre, limits)
         self._grant_pools()
@@ -151,15 +154,15 @@
         self.nodes[name] = FakeNode(node, entry, pools)
 
     def _grant_pools(self) -> None:
-        for place in self.places.values():
-            pool = pool_name(place.data_centre, place.service)
+        for spec in self.runner_specs.values():
+            pool = pool_name(spec.data_centre, spec.service)
             local = [
                 name
                 for name, fake in self.nodes.items()
-                if fake.node.data_centre == place.data_centre
+                if fake.node.data_centre == spec.data_centre
             ]
             self._grant(pool, local)
-            self._grant(store_pool_name(place.service), list(self.nodes))
+            self._grant(store_pool_name(spec.service), list(self.nodes))
 
     def _grant(self, pool: str, candidates: list[str]) -> None:
         if pool not in self.state.owners:
@@ -169,8 +172,8 @@
 
     # -- messages ---------------------------------------------------------
 
-    def handler(self, address: str) -> Callable[[Any], Any]:
-        """Returns what takes a node's messages."""
+    def make_handler(self, address: str) -> Callable[[Any], Any]:
+        """Returns the function that handles messages to a node."""
         fake = self.nodes[address]
 
         async def handle(message: Any) -> Any:
@@ -182,8 +185,8 @@
         return handle
 
     def deliver(self, address: str, message: Any) -> None:
-        """Hands a message to a node."""
-        task = asyncio.ensure_future(self.handler(address)(message))
+        """Starts the handling of a message by a node."""
+        task = asyncio.ensure_future(self.make_handler(address)(message))
         self.tasks.append(task)
         if len(self.tasks) > 5000:
             self.tasks = [task for task in self.tasks if not task.done()]
@@ -191,39 +194,45 @@
     # -- running ------------------------------------------------------------
 
     def start(self) -> None:
-        """Starts engines, announcements and the nodes' own tasks."""
-        works = [engine.run() for engine in self.engines.values()]
-        works += [self._announce(place) for place in self.places.values()]
+        """Starts engines, announcements and the nodes' background tasks."""
+        coroutines = [engine.run() for engine in self.engines.values()]
+        coroutines += [
+            self._announce(spec) for spec in self.runner_specs.values()
+        ]
         for fake in self.nodes.values():
-            works += [fake.pools.run(), fake.entry.report_holdings()]
-        self.tasks += [asyncio.ensure_future(work) for work in works]
+            coroutines += [fake.pools.run(), fake.entry.report_holdings()]
+        self.tasks += [
+            asyncio.ensure_future(coroutine) for coroutine in coroutines
+        ]
 
-    async def _announce(self, place: RunnerPlace) -> None:
+    async def _announce(self, spec: RunnerSpec) -> None:
         sequence = 0
         local = [
             fake
             for fake in self.nodes.values()
-            if fake.node.data_centre == place.data_centre
+            if fake.node.data_centre == spec.data_centre
         ]
         while True:
             sequence += 1
-            said = self.announcement(place, sequence)
-            # Reports lag: what is said now is heard a while later.
+            announcement = self.make_announcement(spec, sequence)
+            # An announcement arrives a while after the state that it describes.
             await asyncio.sleep(0.2)
-            await local[0].pools.handle_announcement(said)
-            await asyncio.sleep(_ANNOUNCE_EVERY)
-
-    def announcement(self, place: RunnerPlace, sequence: int) -> Announcement:
-        """Returns what a runner says of itself now."""
-        engine = self.engines[place.name]
+            await local[0].pools.handle_announcement(announcement)
+            await asyncio.sleep(_ANNOUNCE_INTERVAL_SECONDS)
+
+    def make_announcement(
+        self, spec: RunnerSpec, sequence: int
+    ) -> Announcement:
+        """Returns an announcement of a runner's current state."""
+        engine = self.engines[spec.name]
         return Announcement(
-            place.name,
+            spec.name,
             engine.incarnation,
-            place.service,
-            place.data_centre,
-            place.name,
-            place.model.slots,
-            place.capacity,
+            spec.service,
+            spec.data_centre,
+            spec.name,
+            spec.model.slots,
+            spec.capacity,
             tuple(sorted(engine.resident)),
             engine.active,
             engine.is_draining,
@@ -231,6 +240,6 @@
         )
 
     def stop(self) -> None:
-        """Ends all tasks."""
+        """Cancels all tasks."""
         for task in self.tasks:
             task.cancel()
