--- a/bench/routing.py
+++ b/bench/routing.py
@@ -40,7 +40,7 @@
     count_offline_misses,
     make_trace,
 )
-from testing.world import RunnerPlace, World
+from testing.world import RunnerSpec, World
 
 _SEEDS = (1, 2, 3)
 _RIDGESILL = "ridgesill"
@@ -343,7 +343,7 @@
         self._rng = random.Random(replay.run.seed)
         self._loop = asyncio.get_running_loop()
         runners = [
-            RunnerPlace(
+            RunnerSpec(
                 f"r{number}",
                 site.service,
                 site.places[number % len(site.places)],
@@ -353,7 +353,7 @@
             for number in range(site.runners)
         ]
         runners += [
-            RunnerPlace(f"p{n}", site.plain, place, EngineModel(slots=0), 32)
+            RunnerSpec(f"p{n}", site.plain, place, EngineModel(slots=0), 32)
             for n, place in enumerate(site.places)
         ]
         nodes = [site.places[n % len(site.places)] for n in range(6)]
@@ -365,7 +365,7 @@
     def model_engines(self) -> list[Engine]:
         """Returns the engines of the model service."""
         service = self._replay.site.service
-        places = self.world.places
+        places = self.world.runner_specs
         return [
             engine
             for name, engine in self.world.engines.items()
