--- a/bench/recovery.py
+++ b/bench/recovery.py
@@ -99,7 +99,7 @@
     try:
         await world.start()
         await asyncio.sleep(_CALM_SECONDS)
-        told, acknowledged = len(world.told), world.acknowledged
+        told, acknowledged = len(world.outcomes), world.acknowledged
         ordered = _orders(world)
         began = loop.time()
         await Disaster(world).play(name)
@@ -129,7 +129,7 @@
 def _served(world: SoakWorld, told: int, began: float) -> bool:
     return any(
         entry.status == 200 and entry.began > began
-        for entry in world.told[told:]
+        for entry in world.outcomes[told:]
     )
 
 
--- a/testing/scenarios/test_harmful_requests.py
+++ b/testing/scenarios/test_harmful_requests.py
@@ -48,7 +48,7 @@
         world.repeat("harmful", kind, body)
         await asyncio.sleep(_SECONDS)
         arrivals = world.ledger.harmful[body]
-        assert sum(arrival.ended for arrival in arrivals) >= 3
+        assert sum(arrival.crashed for arrival in arrivals) >= 3
         assert count_late_arrivals(arrivals) <= _SENDS_AFTER_THIRD_END
 
     async def test_the_same_harmless_request_is_served_beside_it(
@@ -60,7 +60,7 @@
         # The last one may still be in progress.
         told = [
             t
-            for t in world.told
+            for t in world.outcomes
             if t.request.startswith("harmless") and t.ended
         ]
         late = [t for t in told if t.began > told[-1].began - 4.0]
--- a/testing/scenarios/test_named_limits.py
+++ b/testing/scenarios/test_named_limits.py
@@ -11,7 +11,7 @@
 import pytest
 
 from ridgesill.core.serving.limits import _BURST_LEAST
-from testing.soak.clients import Told
+from testing.soak.clients import RequestOutcome
 from testing.soak.limits import WINDOW_SECONDS, allowed, count_busiest
 from testing.soak.upstreams import SoakUpstream
 from testing.soak.world import SoakWorld
@@ -54,7 +54,7 @@
 
 def times_of(upstream: SoakUpstream) -> list[float]:
     """Returns when its requests came."""
-    return [at for _, at in upstream.heard.arrivals]
+    return [at for _, at in upstream.record.arrivals]
 
 
 def check_kept(upstream: SoakUpstream, limit: float, since: float) -> None:
@@ -77,9 +77,9 @@
     )
 
 
-def sent_since(world: SoakWorld, since: float) -> list[Told]:
+def sent_since(world: SoakWorld, since: float) -> list[RequestOutcome]:
     """Returns the requests that have had their answer since a time."""
-    return [t for t in world.told if t.began >= since and t.ended]
+    return [t for t in world.outcomes if t.began >= since and t.ended]
 
 
 class TestNamedLimit:
@@ -112,7 +112,7 @@
         refused = [t for t in told if t.kind != "stream" and t.status == 503]
         assert refused
         assert count_refused(world, "limited") >= 0.9 * len(refused)
-        assert all(t.after > 0 for t in refused)
+        assert all(t.retry_after > 0 for t in refused)
         slow = [t for t in refused if t.ended - t.began > _REFUSED_SECONDS]
         assert slow == []
 
--- a/testing/soak/__main__.py
+++ b/testing/soak/__main__.py
@@ -16,7 +16,7 @@
 _RECOVERY_SECONDS = 12.0
 # For connections to end before the event loop does, in seconds.
 _CLOSE_SECONDS = 0.2
-_KINDS = (
+_VIOLATION_KINDS = (
     "lost",
     "doubled",
     "false_not_run",
@@ -35,29 +35,31 @@
 )
 
 
-def play(seed: int, seconds: float, controls: int, fronts: int) -> Verdict:
+def run_seed(seed: int, seconds: float, controls: int, fronts: int) -> Verdict:
     """Plays one seed with its own processes."""
     with tempfile.TemporaryDirectory(prefix="soak") as folder:
-        return asyncio.run(_play(Path(folder), seed, seconds, controls, fronts))
+        return asyncio.run(
+            _run_seed(Path(folder), seed, seconds, controls, fronts)
+        )
 
 
-async def _play(
+async def _run_seed(
     folder: Path, seed: int, seconds: float, controls: int, fronts: int
 ) -> Verdict:
     world = SoakWorld(folder, seed, controls, fronts)
     try:
         await world.start()
-        world.repeat_some()
+        world.start_repeating_callers()
         faults = Faults(world)
         await faults.run(seconds)
         problem = await _recover(world)
         await world.end_traffic()
-        verdict = judge(seed, world, faults.happened)
+        verdict = judge(seed, world, faults.injected)
         for name in faults.exits:
-            verdict.note("exit", name)
+            verdict.record_violation("exit", name)
         if problem:
-            verdict.note("lost", problem)
-        if verdict.broken:
+            verdict.record_violation("lost", problem)
+        if verdict.violations:
             _keep_logs(world, seed, faults)
         return verdict
     finally:
@@ -85,17 +87,18 @@
     for vm in world.vms:
         log = vm.settings_file.with_suffix(".log")
         (kept / log.name).write_bytes(log.read_bytes())
-    lines = [str(fault) for fault in faults.happened]
+    lines = [str(fault) for fault in faults.injected]
     (kept / "faults.txt").write_text("\n".join(lines) + "\n")
 
 
 def summarize(verdicts: list[Verdict]) -> str:
     """Returns the line of totals."""
     counts = " ".join(
-        f"{kind}={sum(v.count(kind) for v in verdicts)}" for kind in _KINDS
+        f"{kind}={sum(v.count(kind) for v in verdicts)}"
+        for kind in _VIOLATION_KINDS
     )
     requests = sum(verdict.requests for verdict in verdicts)
-    failed = sum(bool(verdict.broken) for verdict in verdicts)
+    failed = sum(bool(verdict.violations) for verdict in verdicts)
     played = f"seeds={len(verdicts)} requests={requests}"
     return f"soak: {played} {counts} open={failed}"
 
@@ -115,17 +118,19 @@
         first = random.SystemRandom().randrange(1_000, 1_000_000)
     verdicts = []
     with concurrent.futures.ProcessPoolExecutor(given.jobs) as pool:
-        plays = [
-            pool.submit(play, seed, given.seconds, given.controls, given.fronts)
+        seed_runs = [
+            pool.submit(
+                run_seed, seed, given.seconds, given.controls, given.fronts
+            )
             for seed in range(first, first + given.seeds)
         ]
-        for done in concurrent.futures.as_completed(plays):
+        for done in concurrent.futures.as_completed(seed_runs):
             verdict = done.result()
             verdicts.append(verdict)
-            if verdict.broken:
-                print(f"seed {verdict.seed}: {verdict.broken}", flush=True)
+            if verdict.violations:
+                print(f"seed {verdict.seed}: {verdict.violations}", flush=True)
     print(summarize(verdicts))
-    return 1 if any(verdict.broken for verdict in verdicts) else 0
+    return 1 if any(verdict.violations for verdict in verdicts) else 0
 
 
 if __name__ == "__main__":
--- a/testing/soak/checks.py
+++ b/testing/soak/checks.py
@@ -1,4 +1,4 @@
-"""The promises, checked from what callers and upstreams saw."""
+"""Checks of the system's guarantees against what callers and upstreams saw."""
 
 import bisect
 
@@ -10,243 +10,312 @@
     QUOTA_WINDOW_SECONDS,
     REVOKE_SECONDS,
 )
-from testing.soak.clients import PROMISES, UNSAFE, Told
-from testing.soak.faults import Happened
-from testing.soak.keys import LIMIT, LIMITED, WITHIN
+from testing.soak.clients import NOT_RUN_STATUSES, UNSAFE, RequestOutcome
+from testing.soak.faults import InjectedFault
+from testing.soak.keys import COMPLIANT, LIMIT_PER_SECOND, LIMITED
 from testing.soak.limits import find_excess
-from testing.soak.upstreams import Arrival, Heard, Ledger
+from testing.soak.upstreams import Arrival, InstanceRecord, Ledger
 from testing.soak.world import SoakWorld
 
 _LEASE_SECONDS = 1.0
-# An order that was on its way when its sender was paused may arrive after.
-_THAW_SECONDS = 0.4
-# How far from a fault a request must be so that planned work alone explains
-# what became of it, in seconds.
-_AFTERMATH = 3.0
+# An order that was in transit when its sender was paused may arrive up to this
+# many seconds after the sender resumes.
+_RESUME_SECONDS = 0.4
+# A request that begins within this many seconds after an unplanned fault may
+# have been cut by that fault rather than by planned work.
+_AFTERMATH_SECONDS = 3.0
 
-# Ends after which a request is known to be harmful, and the seconds until all
-# fronts in touch know it (the platform's bounds).
-_ENDS_LEAST = 3
-_CONTACT_SECONDS = 3.0
+# Upstream crashes after which a request is known to be harmful, and the bound
+# in seconds within which all fronts that can be reached learn of it.
+_MIN_CRASHES = 3
+_PROPAGATION_SECONDS = 3.0
 
 
 def count_late_arrivals(arrivals: list[Arrival]) -> int:
-    """Returns how often a harmful request was sent on once it was known."""
-    ends = [arrival.at for arrival in arrivals if arrival.ended]
-    if len(ends) < _ENDS_LEAST:
+    """Counts sends of a harmful request after all fronts must know of it."""
+    crash_times = [arrival.at for arrival in arrivals if arrival.crashed]
+    if len(crash_times) < _MIN_CRASHES:
         return 0
-    known_at = ends[_ENDS_LEAST - 1] + _CONTACT_SECONDS
+    known_at = crash_times[_MIN_CRASHES - 1] + _PROPAGATION_SECONDS
     return sum(arrival.at > known_at for arrival in arrivals)
 
 
-# An upstream that asked for rest gets no more than this many requests from a
-# front from half a second after it asked until the rest is over, and one that
-# leaves none that came to a front two seconds after it had passed that on (the
-# platform's bounds).
-_SENDS_INTO_REST = 2
-_REST_FROM_SECONDS = 0.5
+# An upstream that sent Retry-After gets at most 2 requests from the front that
+# it answered, counted from 0.5 s after the answer until the period ends. An
+# upstream that announced that it is leaving gets no request that reaches that
+# front more than 2 s after the front passed the announcing answer on.
+_MAX_SENDS_DURING_RETRY_AFTER = 2
+_RETRY_AFTER_GRACE_SECONDS = 0.5
 _DRAIN_SECONDS = 2.0
-_SENDS_WHEN_KNOWN = 3
-# A refusal for so long is one of a request in quarantine.
-_LONG_SECONDS = 600.0
+# Late sends of a harmful request that are allowed.
+_MAX_SENDS_ONCE_KNOWN = 3
+# Only the refusal of a quarantined request has a longer Retry-After.
+_QUARANTINE_RETRY_SECONDS = 600.0
 
 
-# Seconds after a new key was acknowledged from which no front may say that
-# there is none, however cut off it is: longer than a front may be sure for.
+# From this many seconds after a new key was acknowledged no front may answer
+# that the key is unknown, even if the front is partitioned: this is longer than
+# a partitioned front may rely on the configuration that it holds.
 _KEY_KNOWN_SECONDS = 1.5
-_UNKNOWN_KEY = 401
-_BEYOND_QUOTA = 429
+_UNKNOWN_KEY_STATUS = 401
+_OVER_QUOTA_STATUS = 429
 
 
 @attrs.define
 class Verdict:
-    """What a seed showed.
+    """The result of running one seed.
 
     Attributes:
-        requests: how many were sent.
-        broken: each broken promise, by its kind.
+        seed: The seed that was run.
+        requests: Number of requests that callers sent.
+        violations: Details of each violated guarantee, by kind.
     """
 
     seed: int
     requests: int = 0
-    broken: dict[str, list[str]] = attrs.Factory(dict)
+    violations: dict[str, list[str]] = attrs.Factory(dict)
 
-    def note(self, kind: str, detail: str) -> None:
-        """Notes a broken promise."""
-        self.broken.setdefault(kind, []).append(detail)
+    def record_violation(self, kind: str, detail: str) -> None:
+        """Records one violation of a guarantee."""
+        self.violations.setdefault(kind, []).append(detail)
 
     def count(self, kind: str) -> int:
-        """Returns how often a promise was broken."""
-        return len(self.broken.get(kind, ()))
+        """Returns the number of violations of a kind."""
+        return len(self.violations.get(kind, ()))
 
 
-def judge(seed: int, world: SoakWorld, happened: list[Happened]) -> Verdict:
-    """Checks everything that can be checked after the end."""
-    verdict = Verdict(seed, len(world.told))
-    for told in world.told:
-        _judge_request(verdict, told, world.ledger.runs.get(told.request, 0))
-        if _is_cut_by_plan(told, world.ledger, happened):
-            verdict.note("cut", f"{told.request} at {told.front}")
+def judge(
+    seed: int, world: SoakWorld, injected: list[InjectedFault]
+) -> Verdict:
+    """Checks all guarantees that can be checked after the run.
+
+    Args:
+        seed: The seed that was run.
+        world: The deployment, with what its callers and upstreams recorded.
+        injected: The faults that were injected.
+
+    Returns:
+        The violations that were found.
+    """
+    verdict = Verdict(seed, len(world.outcomes))
+    for outcome in world.outcomes:
+        _check_request(
+            verdict, outcome, world.ledger.runs.get(outcome.request, 0)
+        )
+        if _is_cut_by_planned_fault(outcome, world.ledger, injected):
+            verdict.record_violation(
+                "cut", f"{outcome.request} at {outcome.front}"
+            )
     for line in world.reverted:
-        verdict.note("reverted", line)
-    for told in world.told:
-        _judge_key(verdict, world, told)
-    _judge_limit(verdict, world)
-    _judge_orders(verdict, world)
-    _judge_quarantine(verdict, world)
-    for name, heard in world.ledger.heard.items():
-        _judge_words(verdict, world, name, heard)
-        _judge_named_limits(verdict, world, name, heard)
+        verdict.record_violation("reverted", line)
+    for outcome in world.outcomes:
+        _check_key(verdict, world, outcome)
+    _check_customer_limit(verdict, world)
+    _check_orders(verdict, world)
+    _check_quarantine(verdict, world)
+    for name, record in world.ledger.instances.items():
+        _check_announcements(verdict, world, name, record)
+        _check_upstream_limits(verdict, world, name, record)
     for upstream in world.upstreams:
         engine = getattr(upstream, "engine", None)
         if engine is not None and engine.is_overfull:
-            verdict.note("overfull", upstream.name)
+            verdict.record_violation("overfull", upstream.name)
     return verdict
 
 
-def _judge_request(verdict: Verdict, told: Told, runs: int) -> None:
-    if told.kind == UNSAFE and runs > 1:
-        verdict.note("doubled", f"{told.request} ran {runs} times")
-    if told.status in PROMISES and runs:
-        verdict.note("false_not_run", f"{told.request}: {told.status}, ran")
-    if not told.right:
-        verdict.note("wrong", told.request)
-
+def _check_request(
+    verdict: Verdict, outcome: RequestOutcome, runs: int
+) -> None:
+    if outcome.kind == UNSAFE and runs > 1:
+        verdict.record_violation(
+            "doubled", f"{outcome.request} ran {runs} times"
+        )
+    if outcome.status in NOT_RUN_STATUSES and runs:
+        verdict.record_violation(
+            "false_not_run", f"{outcome.request}: {outcome.status}, ran"
+        )
+    if not outcome.is_correct:
+        verdict.record_violation("wrong", outcome.request)
+
+
+def _check_key(
+    verdict: Verdict, world: SoakWorld, outcome: RequestOutcome
+) -> None:
+    """Checks that a key works only while valid, and for its own customer.
 
-def _judge_key(verdict: Verdict, world: SoakWorld, told: Told) -> None:
-    """Checks that keys count while they are in force, and name a customer."""
-    key = world.keys.keys.get(told.key)
+    An upstream must be told the key's customer and must never see the key.
+    """
+    key = world.keys.keys.get(outcome.key)
     if key is None:
         return
-    named = world.ledger.named.get(told.request)
-    if named is not None:
-        if named.customer != key.customer or named.knew_key:
-            verdict.note("customer", f"{told.request}: {named}")
-        if told.began > key.dropped_at + REVOKE_SECONDS:
-            verdict.note("revoked", f"{told.request} at {told.front}: {key}")
+    identity = world.ledger.identities.get(outcome.request)
+    if identity is not None:
+        if identity.customer != key.customer or identity.received_key:
+            verdict.record_violation(
+                "customer", f"{outcome.request}: {identity}"
+            )
+        if outcome.began > key.removed_at + REVOKE_SECONDS:
+            verdict.record_violation(
+                "revoked", f"{outcome.request} at {outcome.front}: {key}"
+            )
     known_at = key.added_at + _KEY_KNOWN_SECONDS
-    is_in_force = known_at < told.began and told.ended < key.dropped_from
-    if told.status == _BEYOND_QUOTA and key.customer == WITHIN:
-        verdict.note("refused_within", f"{told.request} at {told.front}")
-    if told.status == _UNKNOWN_KEY and is_in_force:
-        verdict.note("refused_key", f"{told.request} at {told.front}: {key}")
-
-
-def _judge_limit(verdict: Verdict, world: SoakWorld) -> None:
-    """Checks what ran of the limited customer in any window."""
-    allowed = (QUOTA_WINDOW_SECONDS * LIMIT + LIMIT) * (1 + QUOTA_EXCESS)
+    is_in_force = (
+        known_at < outcome.began and outcome.ended < key.removal_sent_at
+    )
+    if outcome.status == _OVER_QUOTA_STATUS and key.customer == COMPLIANT:
+        verdict.record_violation(
+            "refused_within", f"{outcome.request} at {outcome.front}"
+        )
+    if outcome.status == _UNKNOWN_KEY_STATUS and is_in_force:
+        verdict.record_violation(
+            "refused_key", f"{outcome.request} at {outcome.front}: {key}"
+        )
+
+
+def _check_customer_limit(verdict: Verdict, world: SoakWorld) -> None:
+    """Checks the limited customer's requests in every quota window."""
+    allowed = (QUOTA_WINDOW_SECONDS * LIMIT_PER_SECOND + LIMIT_PER_SECOND) * (
+        1 + QUOTA_EXCESS
+    )
     times = sorted(
-        named.at
-        for named in world.ledger.named.values()
-        if named.customer == LIMITED
+        identity.at
+        for identity in world.ledger.identities.values()
+        if identity.customer == LIMITED
     )
     for first, at in enumerate(times):
         end = bisect.bisect_right(times, at + QUOTA_WINDOW_SECONDS)
         if end - first > allowed + QUOTA_SLACK:
-            verdict.note("limit", f"{end - first} requests from {at:.2f} s on")
+            verdict.record_violation(
+                "limit", f"{end - first} requests from {at:.2f} s on"
+            )
             return
 
 
-def _is_cut_by_plan(
-    told: Told, ledger: Ledger, happened: list[Happened]
+def _is_cut_by_planned_fault(
+    outcome: RequestOutcome, ledger: Ledger, injected: list[InjectedFault]
 ) -> bool:
-    """Whether planned work alone cut a request that was passed on.
+    """Returns whether only planned work explains a request's cut connection.
 
-    An upstream that ends under a harmful request cuts what else it serves.
+    Only requests that an upstream ran are considered. A harmful request that
+    crashes an upstream also cuts the other requests there, so a cut during such
+    a crash doesn't count as planned.
     """
-    if not told.cut or told.request not in ledger.runs:
+    if not outcome.cut or outcome.request not in ledger.runs:
         return False
-    near = [
+    nearby = [
         fault
-        for fault in happened
-        if fault.began - 0.1 < told.ended and told.began < fault.ended + 1.0
+        for fault in injected
+        if fault.began - 0.1 < outcome.ended
+        and outcome.began < fault.ended + 1.0
     ]
-    harmed = any(
+    has_unplanned_fault = any(
         not fault.planned
-        and fault.began - 0.1 < told.ended
-        and told.began < fault.ended + _AFTERMATH
-        for fault in happened
+        and fault.began - 0.1 < outcome.ended
+        and outcome.began < fault.ended + _AFTERMATH_SECONDS
+        for fault in injected
     )
-    ended = any(
-        told.began <= arrival.at <= told.ended
+    has_crash = any(
+        outcome.began <= arrival.at <= outcome.ended
         for arrivals in ledger.harmful.values()
         for arrival in arrivals
-        if arrival.ended
+        if arrival.crashed
     )
-    return bool(near) and not harmed and not ended
+    return bool(nearby) and not has_unplanned_fault and not has_crash
 
 
-def _judge_quarantine(verdict: Verdict, world: SoakWorld) -> None:
-    """Checks that a harmful request is held back, and nothing else is."""
+def _check_quarantine(verdict: Verdict, world: SoakWorld) -> None:
+    """Checks that harmful requests, and only those, are quarantined."""
     for body, arrivals in world.ledger.harmful.items():
         late = count_late_arrivals(arrivals)
-        if late > _SENDS_WHEN_KNOWN:
-            verdict.note("harmful", f"{body!r}: {late} sends once known")
-    for told in world.told:
-        is_harmful = told.request.startswith("harmful")
-        if told.after > _LONG_SECONDS and not is_harmful:
-            verdict.note("shut_out", f"{told.request} at {told.front}")
-
-
-def _judge_words(
-    verdict: Verdict, world: SoakWorld, upstream: str, heard: Heard
+        if late > _MAX_SENDS_ONCE_KNOWN:
+            verdict.record_violation(
+                "harmful", f"{body!r}: {late} sends once known"
+            )
+    for outcome in world.outcomes:
+        is_harmful = outcome.request.startswith("harmful")
+        if outcome.retry_after > _QUARANTINE_RETRY_SECONDS and not is_harmful:
+            verdict.record_violation(
+                "shut_out", f"{outcome.request} at {outcome.front}"
+            )
+
+
+def _check_announcements(
+    verdict: Verdict, world: SoakWorld, upstream: str, record: InstanceRecord
 ) -> None:
-    """Checks that an upstream got nothing that it had said it didn't want."""
-    told = {t.request: t for t in world.told}
-    arrivals = [(told[r], at) for r, at in heard.arrivals if r in told]
-    for word in heard.words:
-        if word.request not in told:
+    """Checks that fronts obey an upstream's Retry-After and Server-Leaving.
+
+    A front that was disturbed after it received the announcement is excluded,
+    as it may have lost what it was told.
+    """
+    outcomes = {t.request: t for t in world.outcomes}
+    arrivals = [(outcomes[r], at) for r, at in record.arrivals if r in outcomes]
+    for announcement in record.announcements:
+        if announcement.request not in outcomes:
             continue
-        answered = told[word.request]
+        answered = outcomes[announcement.request]
         later = [
             (sent, at)
             for sent, at in arrivals
             if sent.front == answered.front
-            and at > word.at
-            and not _was_disturbed(world, sent.front, word.at, at)
+            and at > announcement.at
+            and not _was_disturbed(world, sent.front, announcement.at, at)
         ]
-        first, last = word.at + _REST_FROM_SECONDS, word.at + word.rest
-        into = [sent for sent, at in later if first < at < last]
-        if len(into) > _SENDS_INTO_REST:
-            verdict.note("rest", f"{upstream}: {len(into)} from {word}")
-        if not word.leaves or not answered.ended:
+        begin, end = (
+            announcement.at + _RETRY_AFTER_GRACE_SECONDS,
+            announcement.at + announcement.retry_after,
+        )
+        early = [sent for sent, at in later if begin < at < end]
+        if len(early) > _MAX_SENDS_DURING_RETRY_AFTER:
+            verdict.record_violation(
+                "rest", f"{upstream}: {len(early)} from {announcement}"
+            )
+        if not announcement.is_leaving or not answered.ended:
             continue
         known_at = answered.ended + _DRAIN_SECONDS
         after = [sent for sent, _ in later if sent.began > known_at]
         if after:
-            verdict.note("leaving", f"{upstream}: {after[0].request}")
+            verdict.record_violation(
+                "leaving", f"{upstream}: {after[0].request}"
+            )
 
 
-def _judge_named_limits(
-    verdict: Verdict, world: SoakWorld, upstream: str, heard: Heard
+def _check_upstream_limits(
+    verdict: Verdict, world: SoakWorld, upstream: str, record: InstanceRecord
 ) -> None:
-    """Checks that an upstream got no more than it had named.
+    """Checks that an upstream got no more requests than its limit allows.
 
-    Fronts that were disturbed since they were told don't count.
+    Requests through a front that was disturbed after the upstream announced its
+    first limit are not counted.
     """
-    told = {t.request: t for t in world.told}
+    outcomes = {t.request: t for t in world.outcomes}
 
     def front_of(request: str) -> str:
-        sent = told.get(request)
+        sent = outcomes.get(request)
         if sent is None:
             return ""
-        since = heard.limits[0][0] if heard.limits else 0.0
+        since = record.limits[0][0] if record.limits else 0.0
         is_disturbed = _was_disturbed(world, sent.front, since, sent.ended)
         return "" if is_disturbed else sent.front
 
-    excess = find_excess(heard, front_of)
+    excess = find_excess(record, front_of)
     if excess is not None:
-        verdict.note("named_limit", f"{upstream}: {excess}")
+        verdict.record_violation("named_limit", f"{upstream}: {excess}")
 
 
 def _was_disturbed(
     world: SoakWorld, vm: str, since: float, until: float
 ) -> bool:
+    """Returns whether a fault hit a VM, or ended, between two times."""
     times = world.disturbed.get(vm, [])
     return any(since <= at <= until for at in times)
 
 
-def _judge_orders(verdict: Verdict, world: SoakWorld) -> None:
+def _check_orders(verdict: Verdict, world: SoakWorld) -> None:
+    """Checks that each engine has one holder per lease and rising tokens.
+
+    When the holder changes, the fencing token must rise and at least one lease
+    must pass between the two holders' orders.
+    """
     for engine, orders in world.ledger.orders.items():
         for before, after in zip(orders, orders[1:], strict=False):
             if before[0] == after[0]:
@@ -254,15 +323,20 @@
             if _was_paused(world, after):
                 continue
             if after[1] <= before[1]:
-                verdict.note("fencing", f"{engine}: {before} then {after}")
+                verdict.record_violation(
+                    "fencing", f"{engine}: {before} then {after}"
+                )
             elif after[2] - before[2] < _LEASE_SECONDS:
-                verdict.note("two_holders", f"{engine}: {before} then {after}")
+                verdict.record_violation(
+                    "two_holders", f"{engine}: {before} then {after}"
+                )
 
 
 def _was_paused(world: SoakWorld, order: tuple[str, int, float]) -> bool:
+    """Returns whether an order arrived just after its sender resumed."""
     holder, _, at = order
     for vm in world.controls:
         if holder.startswith(f"{vm.ip}:"):
-            thawed = world.paused_until.get(vm.name, float("-inf"))
-            return 0.0 <= at - thawed < _THAW_SECONDS
+            resumed_at = world.paused_until.get(vm.name, float("-inf"))
+            return 0.0 <= at - resumed_at < _RESUME_SECONDS
     return False
--- a/testing/soak/clients.py
+++ b/testing/soak/clients.py
@@ -1,4 +1,4 @@
-"""Callers that keep their channels, and what they were told."""
+"""Callers that keep their channels, and what they were outcome."""
 
 import asyncio
 import random
@@ -11,14 +11,14 @@
 from testing.soak.upstreams import MODEL
 
 _ADAPTERS = 12
-_ANSWER_SECONDS = 4.0
+_ANSWER_TIMEOUT_SECONDS = 4.0
 # Statuses that promise that a request has not run and never will.
-PROMISES = frozenset((408, 421, 429, 503))
+NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
 SAFE, UNSAFE, STREAM = "safe", "unsafe", "stream"
 
 
 @attrs.define
-class Told:
+class RequestOutcome:
     """What became of a request, as its caller saw it.
 
     Attributes:
@@ -26,7 +26,7 @@
         complete: whether the answer came whole.
         right: whether a success was the answer to this request.
         cut: whether the channel ended before the answer did.
-        after: seconds after which it may come back, if it was told.
+        retry_after: seconds after which it may come back, if it was outcome.
         key: of its caller.
     """
 
@@ -37,9 +37,9 @@
     ended: float = 0.0
     status: int = 0
     complete: bool = False
-    right: bool = True
+    is_correct: bool = True
     cut: bool = False
-    after: float = 0.0
+    retry_after: float = 0.0
     key: str = ""
 
 
@@ -50,8 +50,8 @@
         name: begins its requests' ids.
         front: name and address of the front that it calls.
         rng: the source of chance.
-        told: where it notes what it is told.
-        key: returns the key that it uses now.
+        outcomes: where it notes what it is outcome.
+        choose_key: returns the key that it uses now.
     """
 
     def __init__(
@@ -59,14 +59,14 @@
         name: str,
         front: tuple[str, str],
         rng: random.Random,
-        told: list[Told],
-        key: Callable[[], str],
+        outcomes: list[RequestOutcome],
+        choose_key: Callable[[], str],
     ) -> None:
-        self._key = key
+        self._choose_key = choose_key
         self._name = name
         self._front, self._address = front
         self._rng = rng
-        self._told = told
+        self._outcomes = outcomes
         self._client: Client | None = None
         self._source = "127.0.0.1"
         self._count = 0
@@ -77,25 +77,27 @@
             await self.ask(self._rng.choice((SAFE, UNSAFE, UNSAFE, STREAM)))
             await asyncio.sleep(self._rng.uniform(0.0, 0.04))
 
-    async def ask(self, kind: str) -> Told:
+    async def ask(self, kind: str) -> RequestOutcome:
         """Sends one request and notes what becomes of it."""
         self._count += 1
         loop = asyncio.get_running_loop()
         request = f"{self._name}-{self._count}"
-        told = Told(request, kind, self._front, loop.time(), key=self._key())
-        self._told.append(told)
+        outcome = RequestOutcome(
+            request, kind, self._front, loop.time(), key=self._choose_key()
+        )
+        self._outcomes.append(outcome)
         try:
-            async with asyncio.timeout(_ANSWER_SECONDS):
-                await self._exchange(told)
+            async with asyncio.timeout(_ANSWER_TIMEOUT_SECONDS):
+                await self._exchange(outcome)
         except TimeoutError:
-            self._drop()
+            self._close()
         except (OSError, asyncio.IncompleteReadError, ValueError, IndexError):
-            told.cut = self._client is not None
-            self._drop()
-        told.ended = loop.time()
-        return told
+            outcome.cut = self._client is not None
+            self._close()
+        outcome.ended = loop.time()
+        return outcome
 
-    async def _exchange(self, told: Told) -> None:
+    async def _exchange(self, outcome: RequestOutcome) -> None:
         if self._client is None:
             host, _, port = self._address.rpartition(":")
             self._client = Client(
@@ -106,43 +108,45 @@
         headers = {
             "host": ROUTE_HOST,
             "request_deadline": "3000",
-            "credential": told.key,
+            "credential": outcome.key,
             "tenant": "mallory",
         }
-        if told.kind == STREAM:
-            number = self._adapter()
+        if outcome.kind == STREAM:
+            number = self._choose_adapter()
             headers["model"] = f"{MODEL}/a{number}"
             headers["token_counts"] = "10,20"
         answer = await self._client.ask(
-            f"/{told.kind}/x",
-            self._body(),
-            request_id=told.request,
+            f"/{outcome.kind}/x",
+            self._make_body(),
+            request_id=outcome.request,
             **headers,
         )
-        told.status = answer.status
-        told.after = float(answer.headers.get("retry-after", 0.0))
-        told.complete = answer.complete
-        told.cut = not answer.complete
+        outcome.status = answer.status
+        outcome.retry_after = float(answer.headers.get("retry-after", 0.0))
+        outcome.complete = answer.complete
+        outcome.cut = not answer.complete
         if answer.status == 200:
-            told.right = self._is_right(told, answer.headers, answer.body)
-        if told.cut or answer.headers.get("connection") == "close":
-            self._drop()
+            outcome.is_correct = self._is_correct_answer(
+                outcome, answer.headers, answer.body
+            )
+        if outcome.cut or answer.headers.get("connection") == "close":
+            self._close()
 
-    def _adapter(self) -> int:
+    def _choose_adapter(self) -> int:
         return int(self._rng.paretovariate(0.9)) % _ADAPTERS
 
-    def _body(self) -> bytes:
+    def _make_body(self) -> bytes:
         return b""
 
-    def _is_right(
-        self, told: Told, headers: dict[str, str], body: bytes
+    def _is_correct_answer(
+        self, outcome: RequestOutcome, headers: dict[str, str], body: bytes
     ) -> bool:
-        if told.kind == STREAM:
+        if outcome.kind == STREAM:
             whole = [b"id: %d" % number in body for number in (1, 2, 3)]
-            return all(whole) or not told.complete
-        return body.decode() == told.request and "server-stamp" in headers
+            return all(whole) or not outcome.complete
+        return body.decode() == outcome.request and "server-stamp" in headers
 
-    def _drop(self) -> None:
+    def _close(self) -> None:
         if self._client is not None:
             self._client.close()
             self._client = None
@@ -160,8 +164,8 @@
         kind: of its request.
         body: of its request; by its beginning it may be a harmful one.
         rng: the source of chance.
-        told: where it notes what it is told.
-        key: returns the key that it uses now.
+        outcomes: where it notes what it is outcome.
+        choose_key: returns the key that it uses now.
     """
 
     def __init__(
@@ -171,20 +175,20 @@
         kind: str,
         body: bytes,
         rng: random.Random,
-        told: list[Told],
-        key: Callable[[], str],
+        outcomes: list[RequestOutcome],
+        choose_key: Callable[[], str],
     ) -> None:
         self._kind = kind
         self._rng = rng
         adapter = rng.randrange(_ADAPTERS)
         self._callers = [
-            _SameRequest(
+            _FixedRequestCaller(
                 f"{name}-{number}",
                 front,
                 rng,
-                told,
-                _Repeated(body, adapter, f"127.0.0.{number + 2}"),
-                key,
+                outcomes,
+                _FixedRequest(body, adapter, f"127.0.0.{number + 2}"),
+                choose_key,
             )
             for number, front in enumerate(fronts)
         ]
@@ -197,28 +201,28 @@
 
 
 @attrs.frozen
-class _Repeated:
+class _FixedRequest:
     body: bytes
     adapter: int
     source: str
 
 
-class _SameRequest(Caller):
+class _FixedRequestCaller(Caller):
     def __init__(
         self,
         name: str,
         front: tuple[str, str],
         rng: random.Random,
-        told: list[Told],
-        repeated: _Repeated,
-        key: Callable[[], str],
+        outcomes: list[RequestOutcome],
+        fixed_request: _FixedRequest,
+        choose_key: Callable[[], str],
     ) -> None:
-        super().__init__(name, front, rng, told, key)
-        self._repeated = repeated
-        self._source = repeated.source
+        super().__init__(name, front, rng, outcomes, choose_key)
+        self._fixed_request = fixed_request
+        self._source = fixed_request.source
 
-    def _body(self) -> bytes:
-        return self._repeated.body
+    def _make_body(self) -> bytes:
+        return self._fixed_request.body
 
-    def _adapter(self) -> int:
-        return self._repeated.adapter
+    def _choose_adapter(self) -> int:
+        return self._fixed_request.adapter
--- a/testing/soak/faults.py
+++ b/testing/soak/faults.py
@@ -1,4 +1,4 @@
-"""Faults that are injected from outside, one after the other or at once."""
+"""Injects faults from outside the processes, several of them at a time."""
 
 import asyncio
 import random
@@ -13,28 +13,32 @@
 from testing.soak.upstreams import SoakUpstream
 from testing.soak.world import SoakWorld
 
+# How long a process may take to exit after SIGTERM before it is killed.
 _GRACE_SECONDS = 7.0
-# How often processes that have ended by themselves are looked for, in seconds.
+# Interval at which processes that exited by themselves are looked for.
 _SUPERVISE_SECONDS = 0.3
-# Calm that a node with an empty disk needs before another disk may be lost, in
-# seconds (the platform's bounds).
-_CATCH_UP_SECONDS = 4.0
-# For how long it is waited for before the seed goes on to its checks, seconds.
-_CATCH_UP_MOST_SECONDS = 30.0
-# How long an upstream stays that says in its answers that it leaves, seconds.
+# Seconds without a fault that a node with an empty disk needs to catch up
+# before another disk may be lost.
+_CALM_SECONDS = 4.0
+# Longest wait, in seconds, for a node to catch up before the run goes on.
+_CATCH_UP_TIMEOUT_SECONDS = 30.0
+# How long an upstream runs on after it announces in its answers that it leaves.
 _LEAVING_SECONDS = 3.0
-# From a process's start until it can have run its first line, in seconds.
-_BOOT_SECONDS = 0.1
-# Bytes that a disk which is full still takes for one file.
-_FULL_BYTES = 64
+# Seconds after which a started process has run its first line of code.
+_PROCESS_START_SECONDS = 0.1
+# Largest file, in bytes, that can be written to the simulated full disk.
+_FULL_DISK_FILE_BYTES = 64
 
 
 @attrs.frozen
-class Happened:
+class InjectedFault:
     """A fault that was injected.
 
     Attributes:
-        planned: whether it is planned work, which must cut no request.
+        name: Name of the kind of fault.
+        began: Event-loop time in seconds at which it began.
+        ended: Event-loop time in seconds at which it was over.
+        planned: Whether it is planned work, which must cut no request.
     """
 
     name: str
@@ -44,20 +48,24 @@
 
 
 class Faults:
-    """Injects faults into a world.
+    """Injects faults into a deployment.
 
     Args:
-        world: where.
+        world: The deployment.
+
+    Attributes:
+        injected: The faults that are over.
+        exits: Names of the VMs whose process exited by itself.
     """
 
     def __init__(self, world: SoakWorld) -> None:
-        self.happened: list[Happened] = []
+        self.injected: list[InjectedFault] = []
         self.exits: list[str] = []
         self._world = world
         self._rng = world.rng
         self._loop = asyncio.get_running_loop()
         self._busy: set[str] = set()
-        self._wiped = False
+        self._is_disk_lost = False
         self._disturbed_at = self._loop.time()
         self._kinds: tuple[tuple[Callable[[], Awaitable[None]], bool], ...] = (
             (self._kill, False),
@@ -75,29 +83,29 @@
         )
 
     async def run(self, seconds: float) -> None:
-        """Injects faults for some seconds; returns once all are over."""
+        """Injects faults for `seconds`; returns once all of them are over."""
         until = self._loop.time() + seconds
         running: set[asyncio.Task[None]] = set()
         planned_only = self._rng.random() < 0.25
         supervising = asyncio.create_task(self._supervise())
-        saying = asyncio.create_task(self._have_upstreams_say())
-        limiting = asyncio.create_task(self._have_upstreams_name_limits())
+        announcing = asyncio.create_task(self._run_announcements())
+        limiting = asyncio.create_task(self._run_limit_changes())
         while self._loop.time() < until:
             kinds = [k for k in self._kinds if k[1] or not planned_only]
-            work, planned = self._rng.choice(kinds)
-            task = asyncio.create_task(self._inject(work, planned=planned))
+            inject, planned = self._rng.choice(kinds)
+            task = asyncio.create_task(self._inject(inject, planned=planned))
             running.add(task)
             task.add_done_callback(running.discard)
             await asyncio.sleep(self._rng.uniform(0.1, 1.2))
         await asyncio.gather(*running)
         await asyncio.sleep(2 * _SUPERVISE_SECONDS)
         supervising.cancel()
-        saying.cancel()
+        announcing.cancel()
         limiting.cancel()
-        await self._end_words()
+        await self._end_announcements()
 
     async def _supervise(self) -> None:
-        """Starts processes that ended by themselves, as a platform does."""
+        """Restarts processes that exited by themselves."""
         while True:
             await asyncio.sleep(_SUPERVISE_SECONDS)
             for vm in self._world.vms:
@@ -105,84 +113,93 @@
                 if ended and vm.name not in self._busy:
                     self.exits.append(vm.name)
                     self._world.restart(vm)
-                    self._note_disturbed(vm)
+                    self._record_disturbance(vm)
 
     async def _inject(
-        self, work: Callable[[], Awaitable[None]], *, planned: bool
+        self, inject: Callable[[], Awaitable[None]], *, planned: bool
     ) -> None:
+        """Injects one fault, waits until it is over and records it."""
         began = self._disturbed_at = self._loop.time()
-        await work()
-        name = work.__name__.strip("_")
+        await inject()
+        name = inject.__name__.strip("_")
         ended = self._disturbed_at = self._loop.time()
-        self.happened.append(Happened(name, began, ended, planned))
+        self.injected.append(InjectedFault(name, began, ended, planned))
 
-    def _take(self, vms: list[Vm]) -> Vm | None:
-        """Returns a VM on which no other fault is at work."""
+    def _reserve_vm(self, vms: list[Vm]) -> Vm | None:
+        """Reserves a VM with no fault in progress; None if there is none."""
         free = [vm for vm in vms if vm.name not in self._busy]
         if not free:
             return None
         chosen = self._rng.choice(free)
         self._busy.add(chosen.name)
-        self._note_disturbed(chosen)
+        self._record_disturbance(chosen)
         return chosen
 
-    def _note_disturbed(self, vm: Vm) -> None:
+    def _record_disturbance(self, vm: Vm) -> None:
         times = self._world.disturbed.setdefault(vm.name, [])
         times.append(self._loop.time())
 
-    async def _wait(self, least: float, most: float) -> None:
+    async def _sleep_between(self, least: float, most: float) -> None:
         await asyncio.sleep(self._rng.uniform(least, most))
 
     # -- processes -----------------------------------------------------
 
     async def _kill(self) -> None:
-        vm = self._take(self._world.vms)
+        vm = self._reserve_vm(self._world.vms)
         if vm is not None:
             vm.kill()
-            await self._come_back(vm)
+            await self._restart_after_delay(vm)
 
-    async def _come_back(self, vm: Vm) -> None:
-        await self._wait(0.1, 1.5)
+    async def _restart_after_delay(self, vm: Vm) -> None:
+        await self._sleep_between(0.1, 1.5)
         self._world.restart(vm)
-        self._note_disturbed(vm)
+        self._record_disturbance(vm)
         self._busy.discard(vm.name)
 
     async def _pause(self) -> None:
-        vm = self._take(self._world.vms)
+        vm = self._reserve_vm(self._world.vms)
         if vm is None:
             return
         vm.signal(signal.SIGSTOP)
-        await self._wait(0.3, 2.5)
+        await self._sleep_between(0.3, 2.5)
         vm.signal(signal.SIGCONT)
         self._world.paused_until[vm.name] = self._loop.time()
-        self._note_disturbed(vm)
+        self._record_disturbance(vm)
         self._busy.discard(vm.name)
 
     async def _wipe(self) -> None:
-        """One disk of three at a time may be lost, as the settings allow."""
-        if self._wiped:
+        """Kills a control node and empties its disk.
+
+        The settings tolerate the loss of one disk of three at a time.
+        """
+        if self._is_disk_lost:
             return
-        vm = self._take(self._world.controls)
+        vm = self._reserve_vm(self._world.controls)
         if vm is None:
             return
-        self._wiped = True
+        self._is_disk_lost = True
         vm.kill()
         vm.wipe()
-        await self._come_back(vm)
-        # Until it has caught up, no other disk may go: it still counts as lost.
-        deadline = self._loop.time() + _CATCH_UP_MOST_SECONDS
+        await self._restart_after_delay(vm)
+        # The disk counts as lost until the node has caught up, so no other
+        # disk may be emptied before then.
+        deadline = self._loop.time() + _CATCH_UP_TIMEOUT_SECONDS
         while self._loop.time() < deadline:
             await asyncio.sleep(_SUPERVISE_SECONDS)
             if await self._is_caught_up(vm):
-                self._wiped = False
+                self._is_disk_lost = False
                 return
 
     async def _is_caught_up(self, vm: Vm) -> bool:
-        """Whether a control node had calm for long enough, and follows."""
+        """Returns whether a control node has caught up with its peers.
+
+        It must answer with the newest configuration, after enough time without
+        faults anywhere.
+        """
         calm = self._loop.time() - self._disturbed_at
-        if calm < _CATCH_UP_SECONDS:
+        if calm < _CALM_SECONDS:
             return False
-        return await self._world.is_sure(vm)
+        return await self._world.can_read_configuration(vm)
 
     async def _kill_all_controls(self) -> None:
         vms = [v for v in self._world.controls if v.name not in self._busy]
@@ -194,7 +211,7 @@
             self._busy.discard(vm.name)
 
     async def _terminate(self) -> None:
-        vm = self._take(self._world.vms)
+        vm = self._reserve_vm(self._world.vms)
         if vm is None or vm.process is None:
             return
         vm.signal(signal.SIGTERM)
@@ -203,30 +220,33 @@
             await asyncio.sleep(0.05)
         vm.kill()
         self._world.restart(vm)
-        self._note_disturbed(vm)
+        self._record_disturbance(vm)
         self._busy.discard(vm.name)
 
     async def _reload(self) -> None:
         vm = self._rng.choice(self._world.vms)
         times = self._world.disturbed.get(vm.name, [])
-        if times and self._loop.time() - times[-1] < _BOOT_SECONDS:
-            # Before a process runs its first line nothing can take the signal.
-            await asyncio.sleep(_BOOT_SECONDS)
+        if times and self._loop.time() - times[-1] < _PROCESS_START_SECONDS:
+            # A process that has not run its first line has no signal handler
+            # yet, and SIGHUP would end it.
+            await asyncio.sleep(_PROCESS_START_SECONDS)
         vm.signal(signal.SIGHUP)
 
     async def _fill_disk(self) -> None:
-        """Refuses every write above a size, as a full disk does."""
-        vm = self._take(self._world.controls)
+        """Limits a node's file size, so that writes fail as on a full disk."""
+        vm = self._reserve_vm(self._world.controls)
         if vm is None or vm.process is None:
             return
         pid = vm.process.pid
         try:
             _, hard = resource.prlimit(pid, resource.RLIMIT_FSIZE)
-            resource.prlimit(pid, resource.RLIMIT_FSIZE, (_FULL_BYTES, hard))
-            await self._wait(0.5, 2.0)
+            resource.prlimit(
+                pid, resource.RLIMIT_FSIZE, (_FULL_DISK_FILE_BYTES, hard)
+            )
+            await self._sleep_between(0.5, 2.0)
             resource.prlimit(pid, resource.RLIMIT_FSIZE, (hard, hard))
         except ProcessLookupError:
-            # It ended by itself; the supervisor notes that and restarts it.
+            # The process exited by itself; `_supervise` restarts it.
             pass
         finally:
             self._busy.discard(vm.name)
@@ -239,7 +259,7 @@
         proxy.mode = self._rng.choice(
             (Mode.DELAYED, Mode.SILENT, Mode.NO_ANSWERS)
         )
-        await self._wait(0.5, 3.0)
+        await self._sleep_between(0.5, 3.0)
         proxy.mode = Mode.OPEN
 
     async def _proxy_reset(self) -> None:
@@ -247,51 +267,51 @@
 
     # -- upstreams -----------------------------------------------------
 
-    def _upstream(self) -> SoakUpstream:
+    def _choose_upstream(self) -> SoakUpstream:
         return self._rng.choice(self._world.upstreams)
 
     async def _crash_upstream(self) -> None:
-        upstream = self._upstream()
+        upstream = self._choose_upstream()
         if upstream.name in self._busy:
             return
         self._busy.add(upstream.name)
         upstream.crash()
-        await self._wait(0.2, 1.5)
+        await self._sleep_between(0.2, 1.5)
         await upstream.restart()
 
     async def _sicken_upstream(self) -> None:
-        upstream = self._upstream()
-        upstream.refusing = self._rng.choice((0.0, 0.5))
-        upstream.hanging = self._rng.choice((0.0, 0.3))
-        await self._wait(0.5, 2.0)
-        upstream.refusing = 0.0
-        upstream.hanging = 0.0
-
-    async def _have_upstreams_say(self) -> None:
-        """Has upstreams ask for rest, or say only in answers that they leave.
-
-        Beside the other faults and by a chance of its own, so that these are
-        the same for a seed as without it.
+        upstream = self._choose_upstream()
+        upstream.refuse_share = self._rng.choice((0.0, 0.5))
+        upstream.hang_share = self._rng.choice((0.0, 0.3))
+        await self._sleep_between(0.5, 2.0)
+        upstream.refuse_share = 0.0
+        upstream.hang_share = 0.0
+
+    async def _run_announcements(self) -> None:
+        """Makes upstreams send Retry-After, or announce that they leave.
+
+        Uses its own random generator, so that the other faults of a seed don't
+        depend on it.
         """
         rng = random.Random(f"words {self._world.seed}")
         while True:
             await asyncio.sleep(rng.uniform(0.2, 1.0))
             upstream = rng.choice(self._world.upstreams)
-            if upstream.name in self._busy or upstream.leaves:
+            if upstream.name in self._busy or upstream.is_leaving:
                 continue
             if rng.random() < 0.3:
-                await self._leave_by_answers(upstream)
+                await self._leave_by_announcement(upstream)
                 continue
-            upstream.tired = rng.choice((0.3, 1.0))
-            upstream.rest = rng.uniform(0.8, 3.0)
+            upstream.retry_after_share = rng.choice((0.3, 1.0))
+            upstream.retry_after = rng.uniform(0.8, 3.0)
             await asyncio.sleep(rng.uniform(0.2, 1.0))
-            upstream.tired = 0.0
+            upstream.retry_after_share = 0.0
 
-    async def _have_upstreams_name_limits(self) -> None:
-        """Has upstreams name limits, raise and lower them, and take them back.
+    async def _run_limit_changes(self) -> None:
+        """Makes upstreams announce limits, change them and withdraw them.
 
-        By a chance of its own, so that the other faults are the same for a seed
-        as without it. A start that follows names none.
+        Uses its own random generator, so that the other faults of a seed don't
+        depend on it. An upstream that restarts has no limit.
         """
         rng = random.Random(f"limits {self._world.seed}")
         while True:
@@ -310,27 +330,28 @@
                 if upstream.limit:
                     upstream.name_limit(0.0)
 
-    async def _leave_by_answers(self, upstream: SoakUpstream) -> None:
-        """Has an upstream leave that says so in its answers alone."""
+    async def _leave_by_announcement(self, upstream: SoakUpstream) -> None:
+        """Makes an upstream leave that announces it only in its answers."""
         name = upstream.name
-        upstream.leaves = True
+        upstream.is_leaving = True
         await asyncio.sleep(_LEAVING_SECONDS)
         if upstream.name == name:
             upstream.crash()
             await upstream.restart()
 
-    async def _end_words(self) -> None:
+    async def _end_announcements(self) -> None:
+        """Withdraws all announcements; restarts upstreams that are leaving."""
         for upstream in self._world.upstreams:
-            upstream.tired = 0.0
+            upstream.retry_after_share = 0.0
             if upstream.limit:
                 upstream.name_limit(0.0)
-            if upstream.leaves:
+            if upstream.is_leaving:
                 upstream.crash()
                 await upstream.restart()
 
     async def _leave(self) -> None:
-        """Has an upstream leave as planned, and another one come."""
-        upstream = self._upstream()
+        """Drains an upstream as planned, then starts a new incarnation."""
+        upstream = self._choose_upstream()
         if upstream.name in self._busy:
             return
         name = upstream.name
@@ -338,6 +359,7 @@
         upstream.state = "draining"
         await asyncio.sleep(4.0)
         if upstream.name == name:
-            # Else it has ended meanwhile, and its successor doesn't leave.
+            # With another name it has crashed meanwhile, and the new
+            # incarnation isn't draining.
             upstream.crash()
             await upstream.restart()
--- a/testing/soak/keys.py
+++ b/testing/soak/keys.py
@@ -9,12 +9,12 @@
 # The customer with a limit; its callers send more than that.
 LIMITED = "carol"
 # Requests a second, and at once.
-LIMIT = 5
+LIMIT_PER_SECOND = 5
 # The customer whose callers stay within its limit.
-WITHIN = "bob"
-_WITHIN_LIMIT = 100
+COMPLIANT = "bob"
+_COMPLIANT_LIMIT = 100
 # How likely a change of the configuration changes a customer's key.
-_CHANGE_CHANCE = 0.5
+_ROTATION_PROBABILITY = 0.5
 
 
 @attrs.define
@@ -30,8 +30,8 @@
     text: str
     customer: str
     added_at: float = float("inf")
-    dropped_from: float = float("inf")
-    dropped_at: float = float("inf")
+    removal_sent_at: float = float("inf")
+    removed_at: float = float("inf")
 
 
 class KeyRing:
@@ -45,13 +45,13 @@
         self._rng = rng
         self._count = 0
         self._drafted: list[Key] = []
-        self._dropping: list[Key] = []
+        self._pending_removal: list[Key] = []
         self.keys: dict[str, Key] = {}
         self._current: dict[str, list[Key]] = {
-            customer: [self._make(customer)] for customer in CUSTOMERS
+            customer: [self._make_key(customer)] for customer in CUSTOMERS
         }
 
-    def _make(self, customer: str) -> Key:
+    def _make_key(self, customer: str) -> Key:
         self._count += 1
         key = Key(f"key-{self._count}", customer)
         self.keys[key.text] = key
@@ -63,33 +63,33 @@
         A new key comes beside the last one, which then goes with a later
         configuration.
         """
-        if self._rng.random() < _CHANGE_CHANCE:
-            self._change(self._current[self._rng.choice(CUSTOMERS)], now)
+        if self._rng.random() < _ROTATION_PROBABILITY:
+            self._rotate(self._current[self._rng.choice(CUSTOMERS)], now)
         return [
             {
                 "name": customer,
                 "api_keys": [key.text for key in keys],
-                **_limit(customer),
+                **_limit_fields(customer),
             }
             for customer, keys in self._current.items()
         ]
 
-    def _change(self, keys: list[Key], now: float) -> None:
+    def _rotate(self, keys: list[Key], now: float) -> None:
         if len(keys) == 1:
-            keys.append(self._make(keys[0].customer))
+            keys.append(self._make_key(keys[0].customer))
         elif keys[1].added_at < now:
             dropped = keys.pop(0)
-            dropped.dropped_from = now
-            self._dropping.append(dropped)
+            dropped.removal_sent_at = now
+            self._pending_removal.append(dropped)
 
     def confirm(self, now: float) -> None:
         """Notes that the configuration drafted last was acknowledged."""
         for keys in self._current.values():
             for key in keys:
                 key.added_at = min(key.added_at, now)
-        for key in self._dropping:
-            key.dropped_at = now
-        self._dropping.clear()
+        for key in self._pending_removal:
+            key.removed_at = now
+        self._pending_removal.clear()
 
     def choose(self, rng: random.Random, customer: str = "") -> str:
         """Returns a key that a caller uses: a good one, or an earlier one."""
@@ -99,8 +99,8 @@
         return keys[0].text
 
 
-def _limit(customer: str) -> dict[str, Any]:
-    limits = {LIMITED: LIMIT, WITHIN: _WITHIN_LIMIT}
+def _limit_fields(customer: str) -> dict[str, Any]:
+    limits = {LIMITED: LIMIT_PER_SECOND, COMPLIANT: _COMPLIANT_LIMIT}
     if customer not in limits:
         return {}
     limit = limits[customer]
--- a/testing/soak/limits.py
+++ b/testing/soak/limits.py
@@ -6,19 +6,19 @@
 
 import attrs
 
-from testing.soak.upstreams import Heard
+from testing.soak.upstreams import InstanceRecord
 
 # The platform's rule: requests over any four seconds, from the fronts that were
 # told half a second before or earlier, in seconds and as a factor and a slack.
 WINDOW_SECONDS = 4.0
-_TOLD_SECONDS = 0.5
-_EXCESS = 1.5
-_SLACK = 5
+_NOTICE_SECONDS = 0.5
+_EXCESS_FACTOR = 1.5
+_SLACK_REQUESTS = 5
 
 
 def allowed(limit: float) -> float:
     """Returns the requests that a limit allows in a window."""
-    return _EXCESS * limit * WINDOW_SECONDS + _SLACK
+    return _EXCESS_FACTOR * limit * WINDOW_SECONDS + _SLACK_REQUESTS
 
 
 def count_busiest(times: list[float], since: float) -> int:
@@ -48,50 +48,54 @@
     most: float
 
 
-def find_excess(heard: Heard, front_of: Callable[[str], str]) -> Excess | None:
+def find_excess(
+    record: InstanceRecord, front_of: Callable[[str], str]
+) -> Excess | None:
     """Returns the first window with more than the limits in force allow.
 
     Args:
-        heard: what one start of an upstream got and said.
+        record: what one start of an upstream got and said.
         front_of: returns the front that a request went through; empty for one
             that doesn't count.
     """
-    ends = [*(at for at, _ in heard.limits[1:]), math.inf]
-    spans = zip(heard.limits, ends, strict=False)
+    ends = [*(at for at, _ in record.limits[1:]), math.inf]
+    spans = zip(record.limits, ends, strict=False)
     # Limits that follow each other without a break are in force as one.
-    named: list[tuple[float, float, float]] = []
+    merged: list[tuple[float, float, float]] = []
     for (begin, limit), end in spans:
         if not limit:
             continue
-        if named and named[-1][1] == begin:
-            since, _, most = named.pop()
-            named.append((since, end, max(most, limit)))
+        if merged and merged[-1][1] == begin:
+            since, _, most = merged.pop()
+            merged.append((since, end, max(most, limit)))
         else:
-            named.append((begin, end, limit))
-    for begin, end, limit in named:
-        excess = _find_in_span(heard, front_of, begin, end, limit)
+            merged.append((begin, end, limit))
+    for begin, end, limit in merged:
+        excess = _find_in_span(record, front_of, begin, end, limit)
         if excess is not None:
             return excess
     return None
 
 
 def _find_in_span(
-    heard: Heard,
+    record: InstanceRecord,
     front_of: Callable[[str], str],
     begin: float,
     end: float,
     limit: float,
 ) -> Excess | None:
-    told: dict[str, float] = {}
-    for word in heard.words:
-        if word.limit and begin <= word.at <= end:
-            told.setdefault(front_of(word.request), word.at)
-    told.pop("", None)
+    notified_at: dict[str, float] = {}
+    for announcement in record.announcements:
+        if announcement.limit and begin <= announcement.at <= end:
+            notified_at.setdefault(
+                front_of(announcement.request), announcement.at
+            )
+    notified_at.pop("", None)
     times = sorted(
         at
-        for request, at in heard.arrivals
+        for request, at in record.arrivals
         if begin <= at <= end
-        and at >= told.get(front_of(request), math.inf) + _TOLD_SECONDS
+        and at >= notified_at.get(front_of(request), math.inf) + _NOTICE_SECONDS
     )
     for first, at in enumerate(times):
         count = bisect.bisect_right(times, at + WINDOW_SECONDS) - first
--- a/testing/soak/proxy.py
+++ b/testing/soak/proxy.py
@@ -8,7 +8,7 @@
 from ridgesill.core.addresses import split_address
 
 _CHUNK = 65536
-_RESET = struct.pack("ii", 1, 0)
+_LINGER_RESET = struct.pack("ii", 1, 0)
 
 
 class Mode(enum.Enum):
@@ -59,7 +59,7 @@
         for writer in list(self._writers):
             if not writer.is_closing():
                 opened = writer.get_extra_info("socket")
-                opened.setsockopt(SOL_SOCKET, SO_LINGER, _RESET)
+                opened.setsockopt(SOL_SOCKET, SO_LINGER, _LINGER_RESET)
             writer.transport.abort()
 
     async def _serve(
@@ -68,24 +68,26 @@
         self._writers.add(writer)
         try:
             host, port = split_address(self._target)
-            inner, outer = await asyncio.open_connection(host, port)
+            target_reader, target_writer = await asyncio.open_connection(
+                host, port
+            )
         except OSError:
             writer.transport.abort()
             self._writers.discard(writer)
             return
-        self._writers.add(outer)
-        ways = (
-            self._pump(reader, outer, is_answer=False),
-            self._pump(inner, writer, is_answer=True),
+        self._writers.add(target_writer)
+        directions = (
+            self._forward(reader, target_writer, is_answer=False),
+            self._forward(target_reader, writer, is_answer=True),
         )
         try:
-            await asyncio.gather(*ways)
+            await asyncio.gather(*directions)
         finally:
-            for end in (writer, outer):
+            for end in (writer, target_writer):
                 self._writers.discard(end)
                 end.transport.abort()
 
-    async def _pump(
+    async def _forward(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
@@ -94,7 +96,7 @@
     ) -> None:
         try:
             while data := await reader.read(_CHUNK):
-                if self._swallows(is_answer=is_answer):
+                if self._discards(is_answer=is_answer):
                     continue
                 if self.mode is Mode.DELAYED:
                     await asyncio.sleep(self.delay)
@@ -104,7 +106,7 @@
             pass
         writer.close()
 
-    def _swallows(self, *, is_answer: bool) -> bool:
+    def _discards(self, *, is_answer: bool) -> bool:
         if self.mode is Mode.SILENT:
             return True
         return self.mode is Mode.NO_ANSWERS and is_answer
--- a/testing/soak/test_soak.py
+++ b/testing/soak/test_soak.py
@@ -6,13 +6,19 @@
 
 import pytest
 
-from testing.soak.__main__ import play, summarize
+from testing.soak.__main__ import run_seed, summarize
 from testing.soak.checks import Verdict, judge
-from testing.soak.clients import Told
-from testing.soak.faults import Happened
+from testing.soak.clients import RequestOutcome
+from testing.soak.faults import InjectedFault
 from testing.soak.keys import LIMITED, Key, KeyRing
 from testing.soak.proxy import FaultyProxy, Mode
-from testing.soak.upstreams import Arrival, Heard, Ledger, Named, Word
+from testing.soak.upstreams import (
+    Announcement,
+    Arrival,
+    InstanceRecord,
+    Ledger,
+    RunIdentity,
+)
 
 _SHORT = [(1, 5.0, 3, 2), (2, 5.0, 3, 2)]
 _REGRESSIONS = Path(__file__).with_name("regressions.txt")
@@ -31,16 +37,16 @@
     def test_every_promise_is_kept(
         self, case: tuple[int, float, int, int]
     ) -> None:
-        verdict = play(*case)
+        verdict = run_seed(*case)
         assert verdict.requests > 100
-        assert not verdict.broken, verdict.broken
+        assert not verdict.violations, verdict.violations
 
 
-class JudgedWorld:
+class RecordedWorld:
     """What `judge` looks at, without any process."""
 
-    def __init__(self, *told: Told) -> None:
-        self.told = list(told)
+    def __init__(self, *outcomes: RequestOutcome) -> None:
+        self.outcomes = list(outcomes)
         self.ledger = Ledger()
         self.keys = KeyRing(random.Random(1))
         self.reverted: list[str] = []
@@ -49,19 +55,23 @@
         self.paused_until: dict[str, float] = {}
         self.disturbed: dict[str, list[float]] = {}
 
-    def judge(self, *happened: Happened) -> Verdict:
+    def judge(self, *injected: InjectedFault) -> Verdict:
         """Returns the verdict."""
-        return judge(1, self, list(happened))  # type: ignore[arg-type]
+        return judge(1, self, list(injected))  # type: ignore[arg-type]
 
 
 class TestChecks:
     def test_an_unsafe_request_that_ran_twice_is_found(self) -> None:
-        world = JudgedWorld(Told("r1", "unsafe", "f", 0.0, 1.0, 200, True))
+        world = RecordedWorld(
+            RequestOutcome("r1", "unsafe", "f", 0.0, 1.0, 200, True)
+        )
         world.ledger.runs["r1"] = 2
         assert world.judge().count("doubled") == 1
 
     def test_a_refusal_of_what_ran_is_found(self) -> None:
-        world = JudgedWorld(Told("r1", "unsafe", "f", 0.0, 1.0, 503, True))
+        world = RecordedWorld(
+            RequestOutcome("r1", "unsafe", "f", 0.0, 1.0, 503, True)
+        )
         world.ledger.runs["r1"] = 1
         assert world.judge().count("false_not_run") == 1
 
@@ -71,31 +81,31 @@
     def test_only_planned_work_must_cut_nothing(
         self, name: str, planned: bool, cut: int
     ) -> None:
-        told = Told("r1", "unsafe", "f", 5.0, 6.0, cut=True)
-        world = JudgedWorld(told)
+        outcome = RequestOutcome("r1", "unsafe", "f", 5.0, 6.0, cut=True)
+        world = RecordedWorld(outcome)
         world.ledger.runs["r1"] = 1
-        fault = Happened(name, 4.8, 7.0, planned)
+        fault = InjectedFault(name, 4.8, 7.0, planned)
         assert world.judge(fault).count("cut") == cut
 
     def test_an_upstream_that_ends_is_no_planned_work(self) -> None:
-        told = Told("r1", "unsafe", "f", 5.0, 6.0, cut=True)
-        world = JudgedWorld(told)
+        outcome = RequestOutcome("r1", "unsafe", "f", 5.0, 6.0, cut=True)
+        world = RecordedWorld(outcome)
         world.ledger.runs["r1"] = 1
-        world.ledger.harmful[b"x"] = [Arrival(5.9, "i-1", ended=True)]
-        fault = Happened("terminate", 4.8, 7.0, planned=True)
+        world.ledger.harmful[b"x"] = [Arrival(5.9, "i-1", crashed=True)]
+        fault = InjectedFault("terminate", 4.8, 7.0, planned=True)
         assert not world.judge(fault).count("cut")
-        world.ledger.harmful[b"x"] = [Arrival(6.1, "i-1", ended=True)]
+        world.ledger.harmful[b"x"] = [Arrival(6.1, "i-1", crashed=True)]
         assert world.judge(fault).count("cut") == 1
 
     def test_two_holders_within_the_lease_are_found(self) -> None:
-        world = JudgedWorld()
+        world = RecordedWorld()
         world.ledger.orders["i-1"] = [("a:1", 3, 1.0), ("b:1", 4, 1.5)]
         assert world.judge().count("two_holders") == 1
         world.ledger.orders["i-1"] = [("a:1", 4, 1.0), ("b:1", 3, 9.0)]
         assert world.judge().count("fencing") == 1
 
     def test_a_harmful_request_that_is_sent_on_is_found(self) -> None:
-        world = JudgedWorld()
+        world = RecordedWorld()
         ends = [Arrival(at, f"i-{at}", True) for at in (1.0, 2.0, 3.0)]
         late = [Arrival(at, "i-9", True) for at in (6.1, 6.2, 6.3, 6.4)]
         world.ledger.harmful[b"x"] = [*ends, Arrival(5.9, "i-8", True), *late]
@@ -104,49 +114,61 @@
         assert not world.judge().count("harmful")
 
     def test_a_harmless_request_that_is_held_back_is_found(self) -> None:
-        told = Told("harmless-1", "safe", "f", 0.0, 0.1, 503, after=3600.0)
-        assert JudgedWorld(told).judge().count("shut_out") == 1
+        outcome = RequestOutcome(
+            "harmless-1", "safe", "f", 0.0, 0.1, 503, retry_after=3600.0
+        )
+        assert RecordedWorld(outcome).judge().count("shut_out") == 1
 
     def test_sends_into_a_rest_are_found(self) -> None:
-        told = [Told(f"r{n}", "safe", "f", n, n + 0.1) for n in range(5)]
-        world = JudgedWorld(*told)
-        heard = world.ledger.heard["i-1"] = Heard()
-        heard.words.append(Word("r0", 0.0, rest=4.0))
-        heard.arrivals += [(f"r{n}", float(n)) for n in (1, 2, 3)]
+        outcomes = [
+            RequestOutcome(f"r{n}", "safe", "f", n, n + 0.1) for n in range(5)
+        ]
+        world = RecordedWorld(*outcomes)
+        record = world.ledger.instances["i-1"] = InstanceRecord()
+        record.announcements.append(Announcement("r0", 0.0, retry_after=4.0))
+        record.arrivals += [(f"r{n}", float(n)) for n in (1, 2, 3)]
         assert world.judge().count("rest") == 1
         world.disturbed["f"] = [0.5]
         assert not world.judge().count("rest")
 
     def test_sends_to_one_that_leaves_are_found(self) -> None:
-        told = [Told(f"r{n}", "safe", "f", n, n + 0.1) for n in range(4)]
-        world = JudgedWorld(*told)
-        heard = world.ledger.heard["i-1"] = Heard()
-        heard.words.append(Word("r0", 0.0, leaves=True))
-        heard.arrivals.append(("r2", 2.0))
+        outcomes = [
+            RequestOutcome(f"r{n}", "safe", "f", n, n + 0.1) for n in range(4)
+        ]
+        world = RecordedWorld(*outcomes)
+        record = world.ledger.instances["i-1"] = InstanceRecord()
+        record.announcements.append(Announcement("r0", 0.0, is_leaving=True))
+        record.arrivals.append(("r2", 2.0))
         assert not world.judge().count("leaving")
-        heard.arrivals.append(("r3", 3.0))
+        record.arrivals.append(("r3", 3.0))
         assert world.judge().count("leaving") == 1
 
     def test_an_upstream_that_gets_more_than_it_names_is_found(self) -> None:
-        told = [Told(f"r{n}", "safe", "f", n / 10, n / 10) for n in range(60)]
-        world = JudgedWorld(*told)
-        heard = world.ledger.heard["i-1"] = Heard()
-        heard.limits.append((0.0, 2.0))
-        heard.words.append(Word("r0", 0.0, limit=2.0))
-        heard.arrivals += [(f"r{n}", n / 10) for n in range(60)]
+        outcomes = [
+            RequestOutcome(f"r{n}", "safe", "f", n / 10, n / 10)
+            for n in range(60)
+        ]
+        world = RecordedWorld(*outcomes)
+        record = world.ledger.instances["i-1"] = InstanceRecord()
+        record.limits.append((0.0, 2.0))
+        record.announcements.append(Announcement("r0", 0.0, limit=2.0))
+        record.arrivals += [(f"r{n}", n / 10) for n in range(60)]
         assert world.judge().count("named_limit") == 1
-        heard.limits.append((1.0, 12.0))
+        record.limits.append((1.0, 12.0))
         assert not world.judge().count("named_limit")
-        world.ledger.heard["i-1"].limits.pop()
+        world.ledger.instances["i-1"].limits.pop()
         world.disturbed["f"] = [0.5]
         assert not world.judge().count("named_limit")
 
     def test_a_front_that_was_not_told_is_not_counted(self) -> None:
-        told = [Told(f"r{n}", "safe", "f", n / 10, n / 10) for n in range(60)]
-        world = JudgedWorld(*told)
-        heard = world.ledger.heard["i-1"] = Heard()
-        heard.limits.append((0.0, 2.0))
-        heard.arrivals += [(f"r{n}", n / 10) for n in range(60)]
+        outcomes = [
+            RequestOutcome(f"r{n}", "safe", "f", n / 10, n / 10)
+            for n in range(60)
+        ]
+        world = RecordedWorld(*outcomes)
+        record = world.ledger.instances["i-1"] = InstanceRecord()
+        record.limits.append((0.0, 2.0))
+        record.arrivals += [(f"r{n}", n / 10) for n in range(60)]
         assert not world.judge().count("named_limit")
 
     def test_the_line_names_every_total(self) -> None:
@@ -186,55 +208,63 @@
 
 
 class TestKeyChecks:
-    def world(self, told: Told, key: Key) -> JudgedWorld:
+    def world(self, outcome: RequestOutcome, key: Key) -> RecordedWorld:
         """Returns a world in which one caller used a key."""
-        made = JudgedWorld(told)
-        made.keys.keys["k"] = key
-        told.key = "k"
-        return made
+        world = RecordedWorld(outcome)
+        world.keys.keys["k"] = key
+        outcome.key = "k"
+        return world
 
     def test_a_run_for_a_key_that_was_taken_away_is_found(self) -> None:
-        told = Told("r1", "safe", "f", 10.0, 10.1, 200, True)
-        world = self.world(told, Key("k", "bob", 0.0, 6.9, 7.0))
-        world.ledger.named["r1"] = Named("bob", 10.0, knew_key=False)
+        outcome = RequestOutcome("r1", "safe", "f", 10.0, 10.1, 200, True)
+        world = self.world(outcome, Key("k", "bob", 0.0, 6.9, 7.0))
+        world.ledger.identities["r1"] = RunIdentity(
+            "bob", 10.0, received_key=False
+        )
         assert world.judge().count("revoked") == 1
 
     def test_one_within_the_bound_may_run(self) -> None:
-        told = Told("r1", "safe", "f", 8.0, 8.1, 200, True)
-        world = self.world(told, Key("k", "bob", 0.0, 6.9, 7.0))
-        world.ledger.named["r1"] = Named("bob", 8.0, knew_key=False)
-        assert not world.judge().broken
+        outcome = RequestOutcome("r1", "safe", "f", 8.0, 8.1, 200, True)
+        world = self.world(outcome, Key("k", "bob", 0.0, 6.9, 7.0))
+        world.ledger.identities["r1"] = RunIdentity(
+            "bob", 8.0, received_key=False
+        )
+        assert not world.judge().violations
 
     def test_an_upstream_that_learns_a_key_is_found(self) -> None:
-        told = Told("r1", "safe", "f", 8.0, 8.1, 200, True)
-        world = self.world(told, Key("k", "bob", 0.0))
-        world.ledger.named["r1"] = Named("bob", 8.0, knew_key=True)
+        outcome = RequestOutcome("r1", "safe", "f", 8.0, 8.1, 200, True)
+        world = self.world(outcome, Key("k", "bob", 0.0))
+        world.ledger.identities["r1"] = RunIdentity(
+            "bob", 8.0, received_key=True
+        )
         assert world.judge().count("customer") == 1
 
     def test_one_that_is_told_another_customer_is_found(self) -> None:
-        told = Told("r1", "safe", "f", 8.0, 8.1, 200, True)
-        world = self.world(told, Key("k", "bob", 0.0))
-        world.ledger.named["r1"] = Named("mallory", 8.0, knew_key=False)
+        outcome = RequestOutcome("r1", "safe", "f", 8.0, 8.1, 200, True)
+        world = self.world(outcome, Key("k", "bob", 0.0))
+        world.ledger.identities["r1"] = RunIdentity(
+            "mallory", 8.0, received_key=False
+        )
         assert world.judge().count("customer") == 1
 
     def test_a_key_in_force_that_is_called_unknown_is_found(self) -> None:
-        told = Told("r1", "safe", "f", 8.0, 8.1, 401, True)
-        world = self.world(told, Key("k", "bob", 0.0))
+        outcome = RequestOutcome("r1", "safe", "f", 8.0, 8.1, 401, True)
+        world = self.world(outcome, Key("k", "bob", 0.0))
         assert world.judge().count("refused_key") == 1
 
     def test_a_refusal_within_a_limit_is_found(self) -> None:
-        told = Told("r1", "safe", "f", 8.0, 8.1, 429, True)
-        world = self.world(told, Key("k", "bob", 0.0))
+        outcome = RequestOutcome("r1", "safe", "f", 8.0, 8.1, 429, True)
+        world = self.world(outcome, Key("k", "bob", 0.0))
         assert world.judge().count("refused_within") == 1
 
     def test_a_new_key_may_be_unknown_for_a_while(self) -> None:
-        told = Told("r1", "safe", "f", 8.0, 8.1, 401, True)
-        world = self.world(told, Key("k", "bob", 7.5))
-        assert not world.judge().broken
+        outcome = RequestOutcome("r1", "safe", "f", 8.0, 8.1, 401, True)
+        world = self.world(outcome, Key("k", "bob", 7.5))
+        assert not world.judge().violations
 
     def test_a_customer_beyond_its_limit_is_found(self) -> None:
-        world = JudgedWorld()
+        world = RecordedWorld()
         for number in range(100):
-            named = Named(LIMITED, number / 20, knew_key=False)
-            world.ledger.named[f"r{number}"] = named
+            identity = RunIdentity(LIMITED, number / 20, received_key=False)
+            world.ledger.identities[f"r{number}"] = identity
         assert world.judge().count("limit") == 1
--- a/testing/soak/upstreams.py
+++ b/testing/soak/upstreams.py
@@ -13,14 +13,14 @@
 from testing.app.front_world import Call, ScriptedUpstream
 from testing.platform_world import send_http_request
 
-PLACES = 4
+ADAPTER_SLOTS = 4
 _HEARTBEAT_SECONDS = 0.5
-_EVENTS = 3
+_STREAM_EVENTS = 3
 _NOT_RUN = "Not-Run: 1"
 # A request whose body begins so ends every upstream that begins it.
 HARMFUL = b"harmful"
 # How long an upstream that ended so is away, in seconds.
-_AWAY_SECONDS = (0.8, 2.0)
+_DOWNTIME_SECONDS = (0.8, 2.0)
 _incarnations = itertools.count(1)
 
 
@@ -29,16 +29,16 @@
     """A harmful request that reached an upstream.
 
     Attributes:
-        ended: whether the upstream began it, and so ended.
+        crashed: whether the upstream began it, and so ended.
     """
 
     at: float
     upstream: str
-    ended: bool
+    crashed: bool
 
 
 @attrs.frozen
-class Word:
+class Announcement:
     """What an upstream said of itself in an answer.
 
     Attributes:
@@ -50,13 +50,13 @@
 
     request: str
     at: float
-    rest: float = 0.0
-    leaves: bool = False
+    retry_after: float = 0.0
+    is_leaving: bool = False
     limit: float = 0.0
 
 
 @attrs.define
-class Heard:
+class InstanceRecord:
     """What one start of an upstream got and said.
 
     Attributes:
@@ -65,12 +65,12 @@
     """
 
     arrivals: list[tuple[str, float]] = attrs.Factory(list)
-    words: list[Word] = attrs.Factory(list)
+    announcements: list[Announcement] = attrs.Factory(list)
     limits: list[tuple[float, float]] = attrs.Factory(list)
 
 
 @attrs.frozen
-class Named:
+class RunIdentity:
     """Whose request an upstream was told that it ran.
 
     Attributes:
@@ -79,7 +79,7 @@
 
     customer: str
     at: float
-    knew_key: bool
+    received_key: bool
 
 
 @attrs.define
@@ -90,24 +90,24 @@
         runs: how often each request was run, by its id.
         orders: holder, fencing token and time of each order, by engine.
         harmful: arrivals of each harmful request, by its body.
-        heard: what each start of an upstream got and said, by its name.
-        named: whose each run was, by the request's id.
+        instances: what each start of an upstream got and said, by its name.
+        identities: whose each run was, by the request's id.
     """
 
     runs: dict[str, int] = attrs.Factory(dict)
     orders: dict[str, list[tuple[str, int, float]]] = attrs.Factory(dict)
     harmful: dict[bytes, list[Arrival]] = attrs.Factory(dict)
-    heard: dict[str, Heard] = attrs.Factory(dict)
-    named: dict[str, Named] = attrs.Factory(dict)
+    instances: dict[str, InstanceRecord] = attrs.Factory(dict)
+    identities: dict[str, RunIdentity] = attrs.Factory(dict)
 
-    def note_run(self, made: Call) -> None:
+    def record_run(self, call: Call) -> None:
         """Counts a run."""
-        request = made.header("request-id")
+        request = call.header("request-id")
         self.runs[request] = self.runs.get(request, 0) + 1
         now = asyncio.get_running_loop().time()
-        customer = made.header("tenant")
-        knew_key = bool(made.header("credential"))
-        self.named[request] = Named(customer, now, knew_key)
+        customer = call.header("tenant")
+        received_key = bool(call.header("credential"))
+        self.identities[request] = RunIdentity(customer, now, received_key)
 
 
 class SoakUpstream:
@@ -128,77 +128,77 @@
         rng: random.Random,
     ) -> None:
         self.service = service
-        self.refusing = 0.0
-        self.hanging = 0.0
+        self.refuse_share = 0.0
+        self.hang_share = 0.0
         # Share of requests that it turns away, asking for so many seconds.
-        self.tired = 0.0
-        self.rest = 0.0
+        self.retry_after_share = 0.0
+        self.retry_after = 0.0
         self._ledger = ledger
         self._controls = list(controls)
         self._rng = rng
         # For what came later than the seeds that are kept, which must not
         # change what they play.
-        self._later_rng = random.Random(f"{service} {controls}")
+        self._extra_rng = random.Random(f"{service} {controls}")
         self._tasks: list[asyncio.Task[None]] = []
-        self._returning: asyncio.Task[None] | None = None
-        self._begin()
+        self._restart_task: asyncio.Task[None] | None = None
+        self._begin_incarnation()
 
-    def _begin(self) -> None:
+    def _begin_incarnation(self) -> None:
         self.name = f"i-{next(_incarnations)}"
         self.state = "ready"
         # Whether it says in its answers that it leaves.
-        self.leaves = False
+        self.is_leaving = False
         # Requests a second that it names in its answers; 0 for none.
         self.limit = 0.0
         self._sequence = 0
-        self._served = ScriptedUpstream(self.name, self._serve)
+        self._scripted_server = ScriptedUpstream(self.name, self._serve)
 
     async def start(self) -> None:
         """Begins to listen and to send heartbeats."""
-        await self._served.start()
-        self._tasks = [asyncio.create_task(self._beat())]
+        await self._scripted_server.start()
+        self._tasks = [asyncio.create_task(self._send_heartbeats())]
 
     def crash(self) -> None:
         """Ends it without a word; requests in progress are cut."""
-        if self._returning is not None:
-            self._returning.cancel()
+        if self._restart_task is not None:
+            self._restart_task.cancel()
         for task in self._tasks:
             task.cancel()
-        self._served.stop()
-        for made in self._served.calls:
-            if not made.writer.is_closing():
-                made.reset()
+        self._scripted_server.stop()
+        for call in self._scripted_server.calls:
+            if not call.writer.is_closing():
+                call.reset()
 
     async def restart(self) -> None:
         """Starts it as another incarnation."""
-        self._begin()
+        self._begin_incarnation()
         await self.start()
 
-    def _end_for_a_while(self) -> None:
+    def _crash_temporarily(self) -> None:
         """Ends it, and has it back at the same address after a while."""
         self.crash()
-        seconds = self._later_rng.uniform(*_AWAY_SECONDS)
-        self._returning = asyncio.create_task(self._return(seconds))
+        seconds = self._extra_rng.uniform(*_DOWNTIME_SECONDS)
+        self._restart_task = asyncio.create_task(self._restart_after(seconds))
 
-    async def _return(self, seconds: float) -> None:
-        port = int(self._served.address.rpartition(":")[2])
+    async def _restart_after(self, seconds: float) -> None:
+        port = int(self._scripted_server.address.rpartition(":")[2])
         await asyncio.sleep(seconds)
-        self._begin()
-        await self._served.start(port)
-        self._tasks = [asyncio.create_task(self._beat())]
+        self._begin_incarnation()
+        await self._scripted_server.start(port)
+        self._tasks = [asyncio.create_task(self._send_heartbeats())]
 
-    def _is_ended_by(self, made: Call) -> bool:
+    def _record_if_harmful(self, call: Call) -> bool:
         """Notes a harmful request; returns whether this one ends under it."""
-        if not made.body.startswith(HARMFUL):
+        if not call.body.startswith(HARMFUL):
             return False
         now = asyncio.get_running_loop().time()
-        arrivals = self._ledger.harmful.setdefault(made.body, [])
-        arrivals.append(Arrival(now, self.name, ended=True))
+        arrivals = self._ledger.harmful.setdefault(call.body, [])
+        arrivals.append(Arrival(now, self.name, crashed=True))
         return True
 
     # -- heartbeats ----------------------------------------------------
 
-    async def _beat(self) -> None:
+    async def _send_heartbeats(self) -> None:
         while True:
             await self._send_heartbeat()
             await asyncio.sleep(_HEARTBEAT_SECONDS)
@@ -207,12 +207,12 @@
         self._sequence += 1
         said = {
             "service": self.service,
-            "address": self._served.address,
+            "address": self._scripted_server.address,
             "zone": "a",
             "slots": 8,
             "state": self.state,
             "sequence": self._sequence,
-            **self._holdings(),
+            **self._engine_fields(),
         }
         body = msgspec.json.encode(said)
         for address in self._controls:
@@ -223,123 +223,135 @@
             if answer is not None and answer.status == 200:
                 return
 
-    def _holdings(self) -> dict[str, Any]:
+    def _engine_fields(self) -> dict[str, Any]:
         return {}
 
     # -- requests ------------------------------------------------------
 
     @property
-    def heard(self) -> Heard:
+    def record(self) -> InstanceRecord:
         """What this start of it got and said."""
-        return self._ledger.heard.setdefault(self.name, Heard())
+        return self._ledger.instances.setdefault(self.name, InstanceRecord())
 
     def name_limit(self, limit: float) -> None:
         """Names a limit in all answers from now on; 0 takes it back."""
         self.limit = limit
-        self.heard.limits.append((asyncio.get_running_loop().time(), limit))
-
-    async def _serve(self, made: Call) -> None:
-        if made.header("expect-instance") not in ("", self.name):
-            await made.answer(421, b"", _NOT_RUN)
-        elif self._is_ended_by(made):
-            self._end_for_a_while()
-        elif await self._turns_away(made):
+        self.record.limits.append((asyncio.get_running_loop().time(), limit))
+
+    async def _serve(self, call: Call) -> None:
+        if call.header("expect-instance") not in ("", self.name):
+            await call.answer(421, b"", _NOT_RUN)
+        elif self._record_if_harmful(call):
+            self._crash_temporarily()
+        elif await self._refuse_with_retry_after(call):
             pass
-        elif self._rng.random() < self.refusing:
-            await made.answer(503, b"", _NOT_RUN, *self._say(made))
+        elif self._rng.random() < self.refuse_share:
+            await call.answer(
+                503, b"", _NOT_RUN, *self._announcement_headers(call)
+            )
         else:
-            await self._run(made)
+            await self._run(call)
 
-    async def _run(self, made: Call) -> None:
-        request = made.header("request-id")
-        self._ledger.note_run(made)
-        if self._rng.random() < self.hanging:
+    async def _run(self, call: Call) -> None:
+        request = call.header("request-id")
+        self._ledger.record_run(call)
+        if self._rng.random() < self.hang_share:
             await asyncio.sleep(3.0)
         await asyncio.sleep(self._rng.uniform(0.0, 0.05))
         stamp = f"Server-Stamp: {self.name}"
-        await made.answer(200, request.encode(), stamp, *self._say(made))
+        await call.answer(
+            200, request.encode(), stamp, *self._announcement_headers(call)
+        )
 
-    async def _turns_away(self, made: Call) -> bool:
+    async def _refuse_with_retry_after(self, call: Call) -> bool:
         """Notes a request; asks for rest if it is one too many."""
         now = asyncio.get_running_loop().time()
-        request = made.header("request-id")
-        self.heard.arrivals.append((request, now))
-        if self._later_rng.random() >= self.tired:
+        request = call.header("request-id")
+        self.record.arrivals.append((request, now))
+        if self._extra_rng.random() >= self.retry_after_share:
             return False
-        self.heard.words.append(Word(request, now, rest=self.rest))
-        rest = f"Retry-After: {self.rest:.2f}"
-        await made.answer(503, b"", _NOT_RUN, rest, *self._say_limit(made))
+        self.record.announcements.append(
+            Announcement(request, now, retry_after=self.retry_after)
+        )
+        retry_after = f"Retry-After: {self.retry_after:.2f}"
+        await call.answer(
+            503, b"", _NOT_RUN, retry_after, *self._limit_headers(call)
+        )
         return True
 
-    def _say(self, made: Call) -> tuple[str, ...]:
+    def _announcement_headers(self, call: Call) -> tuple[str, ...]:
         """Returns what it says of itself in an answer."""
-        return (*self._say_leaving(made), *self._say_limit(made))
+        return (*self._leaving_headers(call), *self._limit_headers(call))
 
-    def _say_limit(self, made: Call) -> tuple[str, ...]:
+    def _limit_headers(self, call: Call) -> tuple[str, ...]:
         if not self.limit:
             return ()
         now = asyncio.get_running_loop().time()
-        word = Word(made.header("request-id"), now, limit=self.limit)
-        self.heard.words.append(word)
+        announcement = Announcement(
+            call.header("request-id"), now, limit=self.limit
+        )
+        self.record.announcements.append(announcement)
         return (f"Server-Limit: {self.limit:g}",)
 
-    def _say_leaving(self, made: Call) -> tuple[str, ...]:
-        if not self.leaves:
+    def _leaving_headers(self, call: Call) -> tuple[str, ...]:
+        if not self.is_leaving:
             return ()
         now = asyncio.get_running_loop().time()
-        word = Word(made.header("request-id"), now, leaves=True)
-        self.heard.words.append(word)
+        announcement = Announcement(
+            call.header("request-id"), now, is_leaving=True
+        )
+        self.record.announcements.append(announcement)
         return ("Server-Leaving: 1",)
 
 
 class SoakEngine(SoakUpstream):
     """A model engine that takes orders and streams."""
 
-    def _begin(self) -> None:
-        super()._begin()
-        self.engine = SimulatedEngine(self.name, PLACES)
+    def _begin_incarnation(self) -> None:
+        super()._begin_incarnation()
+        self.engine = SimulatedEngine(self.name, ADAPTER_SLOTS)
 
-    def _holdings(self) -> dict[str, Any]:
+    def _engine_fields(self) -> dict[str, Any]:
         return {"models": self.engine.report(time.monotonic())["models"]}
 
-    async def _serve(self, made: Call) -> None:
-        path = made.head.split(" ")[1]
-        if made.header("expect-instance") not in ("", self.name):
-            await made.answer(421, b"", _NOT_RUN)
+    async def _serve(self, call: Call) -> None:
+        path = call.head.split(" ")[1]
+        if call.header("expect-instance") not in ("", self.name):
+            await call.answer(421, b"", _NOT_RUN)
         elif path == "/ridgesill/order":
-            await self._take_order(made)
+            await self._handle_order(call)
         elif path == "/ridgesill/report":
             said = self.engine.report(time.monotonic())
-            await made.answer(200, msgspec.json.encode(said))
-        elif self._is_ended_by(made):
-            self._end_for_a_while()
-        elif not await self._turns_away(made):
-            await self._stream(made)
+            await call.answer(200, msgspec.json.encode(said))
+        elif self._record_if_harmful(call):
+            self._crash_temporarily()
+        elif not await self._refuse_with_retry_after(call):
+            await self._stream(call)
 
-    async def _take_order(self, made: Call) -> None:
+    async def _handle_order(self, call: Call) -> None:
         now = time.monotonic()
-        body = msgspec.json.decode(made.body)
-        noted = (body["holder"], body["fencing_token"], now)
-        self._ledger.orders.setdefault(self.name, []).append(noted)
+        body = msgspec.json.decode(call.body)
+        received_order = (body["holder"], body["fencing_token"], now)
+        self._ledger.orders.setdefault(self.name, []).append(received_order)
         if "adapter" not in body:
-            await made.answer(200)
+            await call.answer(200)
             return
-        await made.answer(self.engine.handle_order(body, now), b"{}")
+        await call.answer(self.engine.handle_order(body, now), b"{}")
 
-    async def _stream(self, made: Call) -> None:
+    async def _stream(self, call: Call) -> None:
         self.engine.complete_due(time.monotonic())
-        adapter = made.header("model").partition("/")[2]
+        adapter = call.header("model").partition("/")[2]
         if adapter not in self.engine.held:
-            await made.answer(421, b"", _NOT_RUN)
+            await call.answer(421, b"", _NOT_RUN)
             return
-        self._ledger.note_run(made)
+        self._ledger.record_run(call)
         self.engine.adapters_in_use.add(adapter)
         try:
-            await made.begin_stream(*self._say(made))
-            for number in range(1, _EVENTS + 1):
+            await call.begin_stream(*self._announcement_headers(call))
+            for number in range(1, _STREAM_EVENTS + 1):
                 await asyncio.sleep(0.02)
-                await made.send_event(number)
-            await made.end_stream()
+                await call.send_event(number)
+            await call.end_stream()
         finally:
             self.engine.adapters_in_use.discard(adapter)
 
--- a/testing/soak/world.py
+++ b/testing/soak/world.py
@@ -15,22 +15,22 @@
     UNSAFE,
     Caller,
     RepeatingCaller,
-    Told,
+    RequestOutcome,
 )
 from testing.soak.keys import KeyRing
 from testing.soak.proxy import FaultyProxy
 from testing.soak.upstreams import (
+    ADAPTER_SLOTS,
     HARMFUL,
     MODELS,
-    PLACES,
     Ledger,
     SoakEngine,
     SoakUpstream,
 )
 
-_CALLERS_A_FRONT = 2
+_CALLERS_PER_FRONT = 2
 # Added to the port on which a control node is reached by its peers.
-_BEHIND_PROXY = 5
+_PROXIED_PORT_OFFSET = 5
 
 
 def make_document(version: int, customers: list[dict[str, Any]]) -> bytes:
@@ -53,7 +53,7 @@
     engine = {
         "slots": 8,
         "weights_mb": 1100.0,
-        "adapter_slots": PLACES,
+        "adapter_slots": ADAPTER_SLOTS,
         "loads_per_s": 10.0,
         "models": MODELS,
     }
@@ -86,7 +86,7 @@
         self.seed = seed
         self.rng = random.Random(seed)
         self.ledger = Ledger()
-        self.told: list[Told] = []
+        self.outcomes: list[RequestOutcome] = []
         self.acknowledged = 0
         self.sent = 0
         self.reverted: list[str] = []
@@ -116,7 +116,7 @@
 
     def _make_proxy(self, vm: Vm) -> FaultyProxy:
         peers = f"{vm.ip}:{self._ports[3]}"
-        behind = f"{vm.ip}:{self._ports[3] + _BEHIND_PROXY}"
+        behind = f"{vm.ip}:{self._ports[3] + _PROXIED_PORT_OFFSET}"
         vm.environment["RIDGESILL_PEERS_LISTEN"] = behind
         return FaultyProxy(peers, behind)
 
@@ -133,13 +133,13 @@
         await self.put_next()
         await self.until_served()
         self._tasks = [
-            asyncio.create_task(self._caller(vm, number).run())
+            asyncio.create_task(self._make_caller(vm, number).run())
             for vm in self.fronts
-            for number in range(_CALLERS_A_FRONT)
+            for number in range(_CALLERS_PER_FRONT)
         ]
-        self._tasks.append(asyncio.create_task(self._operate()))
+        self._tasks.append(asyncio.create_task(self._run_operator()))
 
-    def repeat_some(self) -> None:
+    def start_repeating_callers(self) -> None:
         """Has a harmful request and harmless ones repeated word for word."""
         kinds = (SAFE, UNSAFE, STREAM)
         harmful = self._repeat_rng.choice(kinds)
@@ -147,11 +147,11 @@
         for kind in kinds:
             self.repeat(f"harmless-{kind}", kind, b"the same again")
 
-    def _caller(self, vm: Vm, number: int) -> Caller:
+    def _make_caller(self, vm: Vm, number: int) -> Caller:
         front = (vm.name, f"{vm.ip}:{self._ports[0]}")
         rng = random.Random(self.rng.random())
         return Caller(
-            f"{vm.name}-{number}", front, rng, self.told, self._choose_key
+            f"{vm.name}-{number}", front, rng, self.outcomes, self._choose_key
         )
 
     def _choose_key(self) -> str:
@@ -162,7 +162,13 @@
         fronts = [(vm.name, f"{vm.ip}:{self._ports[0]}") for vm in self.fronts]
         rng = random.Random(self._repeat_rng.random())
         caller = RepeatingCaller(
-            name, fronts, kind, body, rng, self.told, self._choose_steady_key
+            name,
+            fronts,
+            kind,
+            body,
+            rng,
+            self.outcomes,
+            self._choose_steady_key,
         )
         self._tasks.append(asyncio.create_task(caller.run()))
 
@@ -189,22 +195,22 @@
 
     # -- the operator --------------------------------------------------
 
-    async def _operate(self) -> None:
+    async def _run_operator(self) -> None:
         while True:
             await asyncio.sleep(self.rng.uniform(0.2, 0.8))
-            await self.put_next(patience=2.0)
+            await self.put_next(timeout_seconds=2.0)
             await self.read_back()
 
-    async def put_next(self, patience: float = 20.0) -> None:
+    async def put_next(self, timeout_seconds: float = 20.0) -> None:
         """Sends the next configuration until it is taken or time is up."""
         self.sent += self.rng.randint(1, 3)
         version = self.sent
         loop = asyncio.get_running_loop()
         body = make_document(version, self.keys.draft(loop.time()))
-        deadline = loop.time() + patience
+        deadline = loop.time() + timeout_seconds
         while loop.time() < deadline:
             vm = self.rng.choice(self.controls)
-            if await self._call(vm, "POST", "Configuration.Put", body):
+            if await self._call_control(vm, "POST", "Configuration.Put", body):
                 self.acknowledged = max(self.acknowledged, version)
                 self.keys.confirm(loop.time())
                 return
@@ -214,7 +220,7 @@
         """Reads the configuration at a node that is sure of it."""
         before = self.acknowledged
         vm = self.rng.choice(self.controls)
-        answer = await self._call(vm, "GET", "Configuration.Get")
+        answer = await self._call_control(vm, "GET", "Configuration.Get")
         if answer is None:
             return None
         version = int(msgspec.json.decode(answer.data)["version"])
@@ -222,11 +228,13 @@
             self.reverted.append(f"{vm.name} read {version} after {before}")
         return version
 
-    async def is_sure(self, vm: Vm) -> bool:
+    async def can_read_configuration(self, vm: Vm) -> bool:
         """Whether a control node can tell the newest configuration."""
-        return await self._call(vm, "GET", "Configuration.Get") is not None
+        return (
+            await self._call_control(vm, "GET", "Configuration.Get") is not None
+        )
 
-    async def _call(
+    async def _call_control(
         self, vm: Vm, method: str, name: str, body: bytes = b""
     ) -> Any:
         url = f"http://{self.control_address(vm)}/ridgesill/{name}"
@@ -245,6 +253,6 @@
                 )
 
     async def _try_once(self, number: int, vm: Vm, kind: str) -> Any:
-        caller = self._caller(vm, 100 + number + 10 * len(self.told))
-        told = await caller.ask(kind)
-        return told if told.status == 200 and told.complete else None
+        caller = self._make_caller(vm, 100 + number + 10 * len(self.outcomes))
+        outcome = await caller.ask(kind)
+        return outcome if outcome.status == 200 and outcome.complete else None
