--- a/testing/soak/clients.py
+++ b/testing/soak/clients.py
@@ -1,4 +1,4 @@
-"""Callers that keep their channels, and what they were outcome."""
+"""Callers that keep their connections open and record their outcomes."""
 
 import asyncio
 import random
@@ -12,22 +12,27 @@
 
 _ADAPTERS = 12
 _ANSWER_TIMEOUT_SECONDS = 4.0
-# Statuses that promise that a request has not run and never will.
+# Statuses that guarantee that a request has not run and never will.
 NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
 SAFE, UNSAFE, STREAM = "safe", "unsafe", "stream"
 
 
 @attrs.define
 class RequestOutcome:
-    """What became of a request, as its caller saw it.
+    """The outcome of a request, as its caller saw it.
 
     Attributes:
-        status: of the answer; 0 when there was none.
-        complete: whether the answer came whole.
-        right: whether a success was the answer to this request.
-        cut: whether the channel ended before the answer did.
-        retry_after: seconds after which it may come back, if it was outcome.
-        key: of its caller.
+        request: The request's id.
+        kind: Kind of request: safe, unsafe or stream.
+        front: Name of the front that it was sent to.
+        began: Loop time in seconds at which it was sent.
+        ended: Loop time in seconds at which its outcome was known; 0 before.
+        status: Status of the answer; 0 when there was none.
+        complete: Whether the whole answer arrived.
+        is_correct: False if a successful answer was not for this request.
+        cut: Whether the connection ended before the answer did.
+        retry_after: Seconds in the answer's Retry-After; 0 without one.
+        key: The key that the caller sent.
     """
 
     request: str
@@ -44,14 +49,14 @@
 
 
 class Caller:
-    """Sends requests one after the other, on a channel that it keeps.
+    """Sends requests one after the other over a connection that it keeps open.
 
     Args:
-        name: begins its requests' ids.
-        front: name and address of the front that it calls.
-        rng: the source of chance.
-        outcomes: where it notes what it is outcome.
-        choose_key: returns the key that it uses now.
+        name: Prefix of the request ids.
+        front: Name and address of the front to call.
+        rng: Random generator for the choice of requests and pauses.
+        outcomes: List to which the outcome of each request is added.
+        choose_key: Returns the key for the next request.
     """
 
     def __init__(
@@ -78,7 +83,7 @@
             await asyncio.sleep(self._rng.uniform(0.0, 0.04))
 
     async def ask(self, kind: str) -> RequestOutcome:
-        """Sends one request and notes what becomes of it."""
+        """Sends one request, and records and returns its outcome."""
         self._count += 1
         loop = asyncio.get_running_loop()
         request = f"{self._name}-{self._count}"
@@ -98,6 +103,11 @@
         return outcome
 
     async def _exchange(self, outcome: RequestOutcome) -> None:
+        """Sends a request and fills in its outcome from the answer.
+
+        The request claims to be from the customer mallory, so that a front that
+        trusts this header instead of the key is found.
+        """
         if self._client is None:
             host, _, port = self._address.rpartition(":")
             self._client = Client(
@@ -112,8 +122,8 @@
             "tenant": "mallory",
         }
         if outcome.kind == STREAM:
-            number = self._choose_adapter()
-            headers["model"] = f"{MODEL}/a{number}"
+            adapter = self._choose_adapter()
+            headers["model"] = f"{MODEL}/a{adapter}"
             headers["token_counts"] = "10,20"
         answer = await self._client.ask(
             f"/{outcome.kind}/x",
@@ -142,8 +152,8 @@
         self, outcome: RequestOutcome, headers: dict[str, str], body: bytes
     ) -> bool:
         if outcome.kind == STREAM:
-            whole = [b"id: %d" % number in body for number in (1, 2, 3)]
-            return all(whole) or not outcome.complete
+            has_event = [b"id: %d" % number in body for number in (1, 2, 3)]
+            return all(has_event) or not outcome.complete
         return body.decode() == outcome.request and "server-stamp" in headers
 
     def _close(self) -> None:
@@ -153,19 +163,19 @@
 
 
 class RepeatingCaller:
-    """Sends the same request again and again, at any front.
+    """Sends the same request repeatedly, each time to a random front.
 
-    Each front sees it come from another address, as where a caller's machines
-    stand in several data centres.
+    Each front sees the request from a different source address, as when a
+    customer calls from several data centres.
 
     Args:
-        name: begins its requests' ids.
-        fronts: names and addresses of the fronts.
-        kind: of its request.
-        body: of its request; by its beginning it may be a harmful one.
-        rng: the source of chance.
-        outcomes: where it notes what it is outcome.
-        choose_key: returns the key that it uses now.
+        name: Prefix of the request ids.
+        fronts: Names and addresses of the fronts.
+        kind: Kind of the request.
+        body: Body of the request; its prefix makes the request harmful.
+        rng: Random generator for the choice of fronts and pauses.
+        outcomes: List to which the outcome of each request is added.
+        choose_key: Returns the key for the next request.
     """
 
     def __init__(
@@ -194,7 +204,12 @@
         ]
 
     async def run(self, least: float = 0.05, most: float = 0.6) -> None:
-        """Sends it until cancelled, with pauses of some seconds."""
+        """Sends the request until cancelled.
+
+        Args:
+            least: Shortest pause between two requests, in seconds.
+            most: Longest pause between two requests, in seconds.
+        """
         while True:
             await self._rng.choice(self._callers).ask(self._kind)
             await asyncio.sleep(self._rng.uniform(least, most))
@@ -202,12 +217,22 @@
 
 @attrs.frozen
 class _FixedRequest:
+    """The parts of a repeated request that stay the same.
+
+    Attributes:
+        body: Body of the request.
+        adapter: Number of the adapter that a stream asks for.
+        source: Source address of the connection.
+    """
+
     body: bytes
     adapter: int
     source: str
 
 
 class _FixedRequestCaller(Caller):
+    """A caller whose requests all have the same body and adapter."""
+
     def __init__(
         self,
         name: str,
--- a/testing/soak/world.py
+++ b/testing/soak/world.py
@@ -1,4 +1,4 @@
-"""A deployment under faults: processes, proxies, upstreams and callers."""
+"""The deployment of a soak run: processes, proxies, upstreams and callers."""
 
 import asyncio
 import random
@@ -29,12 +29,18 @@
 )
 
 _CALLERS_PER_FRONT = 2
-# Added to the port on which a control node is reached by its peers.
+# A control node listens for its peers at their port plus this offset; the
+# proxy listens at the port itself.
 _PROXIED_PORT_OFFSET = 5
 
 
 def make_document(version: int, customers: list[dict[str, Any]]) -> bytes:
-    """Returns a configuration with a route of each kind."""
+    """Returns an encoded configuration with a route of each kind.
+
+    Args:
+        version: Version of the configuration.
+        customers: Customers with their keys and limits.
+    """
     kinds = {"safe": "plain", "unsafe": "plain", "stream": "engine"}
     routes = [
         {
@@ -70,13 +76,20 @@
 
 
 class SoakWorld(PlatformDeployment):
-    """Everything that a seed plays with.
+    """The deployment that one seed runs against.
 
     Args:
-        folder: for settings, disks and logs.
-        seed: of all chance.
-        controls: how many control nodes.
-        fronts: how many fronts.
+        folder: Directory for settings, disks and logs.
+        seed: Seed of all random generators.
+        controls: Number of control nodes.
+        fronts: Number of fronts.
+
+    Attributes:
+        outcomes: What each request's caller saw, in order of sending.
+        acknowledged: Highest configuration version that was acknowledged.
+        sent: Highest configuration version that was sent.
+        reverted: Reads that returned an older version than acknowledged.
+        paused_until: Loop time at which a VM last resumed, by its name.
     """
 
     def __init__(
@@ -91,7 +104,7 @@
         self.sent = 0
         self.reverted: list[str] = []
         self.paused_until: dict[str, float] = {}
-        # When each VM was disturbed, and was back.
+        # Loop times at which a fault hit each VM or ended there, by its name.
         self.disturbed: dict[str, list[float]] = {}
         self._repeat_rng = random.Random(f"repeat {seed}")
         self.keys = KeyRing(random.Random(f"keys {seed}"))
@@ -120,10 +133,10 @@
         vm.environment["RIDGESILL_PEERS_LISTEN"] = behind
         return FaultyProxy(peers, behind)
 
-    # -- life ----------------------------------------------------------
+    # -- start and stop ------------------------------------------------
 
     async def start(self) -> None:
-        """Starts everything, and waits until each front serves."""
+        """Starts everything and waits until each front serves requests."""
         for proxy in self.proxies.values():
             await proxy.start()
         for vm in self.vms:
@@ -140,7 +153,7 @@
         self._tasks.append(asyncio.create_task(self._run_operator()))
 
     def start_repeating_callers(self) -> None:
-        """Has a harmful request and harmless ones repeated word for word."""
+        """Starts callers that repeat a harmful and some harmless requests."""
         kinds = (SAFE, UNSAFE, STREAM)
         harmful = self._repeat_rng.choice(kinds)
         self.repeat("harmful", harmful, HARMFUL + b" one")
@@ -158,7 +171,13 @@
         return self.keys.choose(self._key_rng)
 
     def repeat(self, name: str, kind: str, body: bytes) -> None:
-        """Has a caller send one request again and again, at any front."""
+        """Starts a caller that sends the same request through all fronts.
+
+        Args:
+            name: Prefix of the request ids.
+            kind: Kind of the request.
+            body: Body of the request.
+        """
         fronts = [(vm.name, f"{vm.ip}:{self._ports[0]}") for vm in self.fronts]
         rng = random.Random(self._repeat_rng.random())
         caller = RepeatingCaller(
@@ -176,7 +195,7 @@
         return self.keys.choose(self._key_rng, "alice")
 
     async def end_traffic(self) -> None:
-        """Stops callers and the operator."""
+        """Stops the callers and the operator."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -196,13 +215,17 @@
     # -- the operator --------------------------------------------------
 
     async def _run_operator(self) -> None:
+        """Changes and reads the configuration until cancelled."""
         while True:
             await asyncio.sleep(self.rng.uniform(0.2, 0.8))
             await self.put_next(timeout_seconds=2.0)
             await self.read_back()
 
     async def put_next(self, timeout_seconds: float = 20.0) -> None:
-        """Sends the next configuration until it is taken or time is up."""
+        """Sends the next configuration until a node acknowledges it.
+
+        Gives up after `timeout_seconds`.
+        """
         self.sent += self.rng.randint(1, 3)
         version = self.sent
         loop = asyncio.get_running_loop()
@@ -217,7 +240,13 @@
             await asyncio.sleep(0.1)
 
     async def read_back(self) -> int | None:
-        """Reads the configuration at a node that is sure of it."""
+        """Reads the configuration's version at a randomly chosen node.
+
+        Records a read that is older than what was acknowledged before it.
+
+        Returns:
+            The version, or None if the node can't answer.
+        """
         before = self.acknowledged
         vm = self.rng.choice(self.controls)
         answer = await self._call_control(vm, "GET", "Configuration.Get")
@@ -229,7 +258,7 @@
         return version
 
     async def can_read_configuration(self, vm: Vm) -> bool:
-        """Whether a control node can tell the newest configuration."""
+        """Returns whether a control node can serve the newest configuration."""
         return (
             await self._call_control(vm, "GET", "Configuration.Get") is not None
         )
@@ -244,7 +273,14 @@
     # -- recovery ------------------------------------------------------
 
     async def until_served(self, seconds: float = 20.0) -> None:
-        """Waits until every front serves every kind of request."""
+        """Waits until every front serves every kind of request.
+
+        Args:
+            seconds: Longest wait for each front and kind.
+
+        Raises:
+            AssertionError: A front doesn't serve a kind in time.
+        """
         for number, vm in enumerate(self.fronts):
             for kind in ("safe", "unsafe", "stream"):
                 await self.poll(
@@ -253,6 +289,7 @@
                 )
 
     async def _try_once(self, number: int, vm: Vm, kind: str) -> Any:
+        """Sends one request; returns its outcome if it succeeded, else None."""
         caller = self._make_caller(vm, 100 + number + 10 * len(self.outcomes))
         outcome = await caller.ask(kind)
         return outcome if outcome.status == 200 and outcome.complete else None
