--- a/testing/soak/__main__.py
+++ b/testing/soak/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m testing.soak`: plays seeds and prints one line of totals."""
+"""`python -m testing.soak`: runs seeds and prints one line of totals."""
 
 import argparse
 import asyncio
@@ -12,9 +12,9 @@
 from testing.soak.faults import Faults
 from testing.soak.world import SoakWorld
 
-# Within which everything must be served again after the last fault, seconds.
+# Bound in seconds on each step of the recovery after the last fault.
 _RECOVERY_SECONDS = 12.0
-# For connections to end before the event loop does, in seconds.
+# Time in seconds for connections to close before the event loop does.
 _CLOSE_SECONDS = 0.2
 _VIOLATION_KINDS = (
     "lost",
@@ -36,7 +36,14 @@
 
 
 def run_seed(seed: int, seconds: float, controls: int, fronts: int) -> Verdict:
-    """Plays one seed with its own processes."""
+    """Runs one seed with its own processes and checks the guarantees.
+
+    Args:
+        seed: The seed.
+        seconds: For how long faults are injected.
+        controls: Number of control nodes.
+        fronts: Number of fronts.
+    """
     with tempfile.TemporaryDirectory(prefix="soak") as folder:
         return asyncio.run(
             _run_seed(Path(folder), seed, seconds, controls, fronts)
@@ -68,61 +75,75 @@
 
 
 async def _recover(world: SoakWorld) -> str:
-    """Returns what did not come back after the faults, or nothing."""
+    """Waits until the deployment works again after the faults.
+
+    Returns:
+        What didn't recover; empty if everything did.
+    """
     try:
         await world.until_served(_RECOVERY_SECONDS)
         await world.put_next(_RECOVERY_SECONDS)
         version = await world.poll(world.read_back, _RECOVERY_SECONDS)
     except AssertionError as error:
-        return f"not served again: {str(error)[:200]}"
+        return f"no recovery after the faults: {str(error)[:200]}"
     if version < world.acknowledged:
-        return f"read {version}, acknowledged {world.acknowledged}"
+        return f"read version {version}, acknowledged {world.acknowledged}"
     return ""
 
 
 def _keep_logs(world: SoakWorld, seed: int, faults: Faults) -> None:
-    """Leaves the logs of a seed that failed under /tmp."""
-    kept = Path(tempfile.gettempdir()) / f"soak-{seed}"
-    kept.mkdir(exist_ok=True)
+    """Saves the logs and faults of a failed seed in /tmp/soak-SEED."""
+    target = Path(tempfile.gettempdir()) / f"soak-{seed}"
+    target.mkdir(exist_ok=True)
     for vm in world.vms:
         log = vm.settings_file.with_suffix(".log")
-        (kept / log.name).write_bytes(log.read_bytes())
+        (target / log.name).write_bytes(log.read_bytes())
     lines = [str(fault) for fault in faults.injected]
-    (kept / "faults.txt").write_text("\n".join(lines) + "\n")
+    (target / "faults.txt").write_text("\n".join(lines) + "\n")
 
 
 def summarize(verdicts: list[Verdict]) -> str:
-    """Returns the line of totals."""
+    """Returns the line of totals over all seeds."""
     counts = " ".join(
         f"{kind}={sum(v.count(kind) for v in verdicts)}"
         for kind in _VIOLATION_KINDS
     )
     requests = sum(verdict.requests for verdict in verdicts)
     failed = sum(bool(verdict.violations) for verdict in verdicts)
-    played = f"seeds={len(verdicts)} requests={requests}"
-    return f"soak: {played} {counts} open={failed}"
+    totals = f"seeds={len(verdicts)} requests={requests}"
+    return f"soak: {totals} {counts} open={failed}"
 
 
 def main() -> int:
-    """Plays the seeds that the command line names."""
+    """Runs the seeds that the command line names.
+
+    Returns:
+        The exit status: 1 if a guarantee was violated, else 0.
+    """
     parser = argparse.ArgumentParser(prog="testing.soak")
     parser.add_argument("--seeds", type=int, default=50)
-    parser.add_argument("--first", type=int, help="first seed; else by chance")
+    parser.add_argument(
+        "--first", type=int, help="first seed (default: random)"
+    )
     parser.add_argument("--seconds", type=float, default=10.0)
     parser.add_argument("--controls", type=int, default=3)
     parser.add_argument("--fronts", type=int, default=3)
     parser.add_argument("--jobs", type=int, default=3)
-    given = parser.parse_args()
-    first = given.first
+    options = parser.parse_args()
+    first = options.first
     if first is None:
         first = random.SystemRandom().randrange(1_000, 1_000_000)
     verdicts = []
-    with concurrent.futures.ProcessPoolExecutor(given.jobs) as pool:
+    with concurrent.futures.ProcessPoolExecutor(options.jobs) as pool:
         seed_runs = [
             pool.submit(
-                run_seed, seed, given.seconds, given.controls, given.fronts
+                run_seed,
+                seed,
+                options.seconds,
+                options.controls,
+                options.fronts,
             )
-            for seed in range(first, first + given.seeds)
+            for seed in range(first, first + options.seeds)
         ]
         for done in concurrent.futures.as_completed(seed_runs):
             verdict = done.result()
--- a/testing/soak/keys.py
+++ b/testing/soak/keys.py
@@ -1,4 +1,4 @@
-"""Callers' keys, which the operator changes all the time."""
+"""Callers' keys, which the operator rotates during a run."""
 
 import random
 from typing import Any
@@ -6,25 +6,27 @@
 import attrs
 
 CUSTOMERS = ("alice", "bob", "carol")
-# The customer with a limit; its callers send more than that.
+# The customer whose callers send more than its limit allows.
 LIMITED = "carol"
-# Requests a second, and at once.
+# Limit of that customer: requests per second, and also the burst.
 LIMIT_PER_SECOND = 5
-# The customer whose callers stay within its limit.
+# The customer whose callers stay within its limit, and must not be refused.
 COMPLIANT = "bob"
 _COMPLIANT_LIMIT = 100
-# How likely a change of the configuration changes a customer's key.
+# Probability that a new configuration adds or removes a key.
 _ROTATION_PROBABILITY = 0.5
 
 
 @attrs.define
 class Key:
-    """A key and its life, in seconds on the loop's clock.
+    """A key and when it is valid, in seconds of loop time.
 
     Attributes:
-        added_at: when the configuration with it was acknowledged.
-        dropped_from: when the configuration without it was first sent.
-        dropped_at: when that one was acknowledged.
+        text: The key itself.
+        customer: Name of the customer that it belongs to.
+        added_at: When a configuration with the key was first acknowledged.
+        removal_sent_at: When a configuration without it was first sent.
+        removed_at: When a configuration without it was acknowledged.
     """
 
     text: str
@@ -35,10 +37,13 @@
 
 
 class KeyRing:
-    """All keys that there ever were.
+    """All keys of a run, present and past.
 
     Args:
-        rng: the source of chance.
+        rng: Random generator for the rotation of keys.
+
+    Attributes:
+        keys: Every key that was ever made, by its text.
     """
 
     def __init__(self, rng: random.Random) -> None:
@@ -58,10 +63,13 @@
         return key
 
     def draft(self, now: float) -> list[dict[str, Any]]:
-        """Returns the customers of the next configuration.
+        """Returns the customers for the next configuration.
 
-        A new key comes beside the last one, which then goes with a later
-        configuration.
+        A customer's new key is added beside its current key, which a later
+        configuration removes.
+
+        Args:
+            now: Loop time in seconds.
         """
         if self._rng.random() < _ROTATION_PROBABILITY:
             self._rotate(self._current[self._rng.choice(CUSTOMERS)], now)
@@ -75,15 +83,19 @@
         ]
 
     def _rotate(self, keys: list[Key], now: float) -> None:
+        """Adds a key to a customer's only key, or removes the older of two.
+
+        The older one is removed only once the newer one was acknowledged.
+        """
         if len(keys) == 1:
             keys.append(self._make_key(keys[0].customer))
         elif keys[1].added_at < now:
-            dropped = keys.pop(0)
-            dropped.removal_sent_at = now
-            self._pending_removal.append(dropped)
+            removed = keys.pop(0)
+            removed.removal_sent_at = now
+            self._pending_removal.append(removed)
 
     def confirm(self, now: float) -> None:
-        """Notes that the configuration drafted last was acknowledged."""
+        """Records that the last drafted configuration was acknowledged."""
         for keys in self._current.values():
             for key in keys:
                 key.added_at = min(key.added_at, now)
@@ -92,7 +104,14 @@
         self._pending_removal.clear()
 
     def choose(self, rng: random.Random, customer: str = "") -> str:
-        """Returns a key that a caller uses: a good one, or an earlier one."""
+        """Returns the key for a caller's next request.
+
+        Args:
+            rng: Random generator for the choice.
+            customer: The customer whose current key is wanted. If empty, a
+                random customer's, or in a tenth of the calls any key that was
+                ever made.
+        """
         if not customer and rng.random() < 0.1:
             return rng.choice(list(self.keys))
         keys = self._current[customer or rng.choice(CUSTOMERS)]
@@ -100,6 +119,7 @@
 
 
 def _limit_fields(customer: str) -> dict[str, Any]:
+    """Returns a customer's limit as fields of the configuration."""
     limits = {LIMITED: LIMIT_PER_SECOND, COMPLIANT: _COMPLIANT_LIMIT}
     if customer not in limits:
         return {}
--- a/testing/soak/limits.py
+++ b/testing/soak/limits.py
@@ -1,4 +1,4 @@
-"""Checks that upstreams get no more than the limits that they name."""
+"""Checks that upstreams get no more requests than their limits allow."""
 
 import bisect
 import math
@@ -8,8 +8,8 @@
 
 from testing.soak.upstreams import InstanceRecord
 
-# The platform's rule: requests over any four seconds, from the fronts that were
-# told half a second before or earlier, in seconds and as a factor and a slack.
+# In any window of 4 s, an upstream may get at most 1.5 times its limit plus 5
+# requests from the fronts that it notified at least 0.5 s before.
 WINDOW_SECONDS = 4.0
 _NOTICE_SECONDS = 0.5
 _EXCESS_FACTOR = 1.5
@@ -17,12 +17,17 @@
 
 
 def allowed(limit: float) -> float:
-    """Returns the requests that a limit allows in a window."""
+    """Returns how many requests a limit per second allows in a window."""
     return _EXCESS_FACTOR * limit * WINDOW_SECONDS + _SLACK_REQUESTS
 
 
 def count_busiest(times: list[float], since: float) -> int:
-    """Returns the most arrivals in a window that begins at or after a time."""
+    """Returns the largest number of arrivals in any window.
+
+    Args:
+        times: Times of the arrivals, in seconds.
+        since: Arrivals before this time are ignored.
+    """
     ordered = sorted(at for at in times if at >= since)
     return max(
         (
@@ -35,12 +40,12 @@
 
 @attrs.frozen
 class Excess:
-    """A window in which an upstream got more than it named.
+    """A window in which an upstream got more requests than its limit allows.
 
     Attributes:
-        begin: of the window.
-        count: of the requests that came.
-        most: that were allowed.
+        begin: Loop time in seconds at which the window begins.
+        count: Number of requests that arrived in it.
+        most: Number of requests that were allowed.
     """
 
     begin: float
@@ -51,16 +56,19 @@
 def find_excess(
     record: InstanceRecord, front_of: Callable[[str], str]
 ) -> Excess | None:
-    """Returns the first window with more than the limits in force allow.
+    """Returns the first window with more requests than the limits allow.
+
+    While an upstream changes its limit without withdrawing it, the highest of
+    these limits applies to the whole time.
 
     Args:
-        record: what one start of an upstream got and said.
-        front_of: returns the front that a request went through; empty for one
-            that doesn't count.
+        record: What one incarnation of an upstream received and announced.
+        front_of: Returns the name of the front that a request went through, by
+            the request's id; empty if the request doesn't count.
     """
-    ends = [*(at for at, _ in record.limits[1:]), math.inf]
-    spans = zip(record.limits, ends, strict=False)
-    # Limits that follow each other without a break are in force as one.
+    end_times = [*(at for at, _ in record.limits[1:]), math.inf]
+    spans = zip(record.limits, end_times, strict=False)
+    # Limits that directly follow each other are merged into their highest.
     merged: list[tuple[float, float, float]] = []
     for (begin, limit), end in spans:
         if not limit:
@@ -84,6 +92,11 @@
     end: float,
     limit: float,
 ) -> Excess | None:
+    """Returns the first window with too many requests within a time span.
+
+    Only requests through fronts that were notified of the limit long enough
+    before count.
+    """
     notified_at: dict[str, float] = {}
     for announcement in record.announcements:
         if announcement.limit and begin <= announcement.at <= end:
--- a/testing/soak/proxy.py
+++ b/testing/soak/proxy.py
@@ -1,4 +1,4 @@
-"""A loopback proxy that misbehaves on demand, in front of one address."""
+"""A loopback proxy that injects network faults in front of one address."""
 
 import asyncio
 import enum
@@ -7,12 +7,20 @@
 
 from ridgesill.core.addresses import split_address
 
-_CHUNK = 65536
+_CHUNK_BYTES = 65536
+# SO_LINGER enabled with a timeout of 0 s, so that a close sends RST.
 _LINGER_RESET = struct.pack("ii", 1, 0)
 
 
 class Mode(enum.Enum):
-    """What a proxy does with the bytes that it is given."""
+    """What a proxy does with the bytes that it receives.
+
+    Attributes:
+        OPEN: Forwards them.
+        DELAYED: Forwards them after a delay.
+        SILENT: Discards them in both directions.
+        NO_ANSWERS: Forwards requests and discards answers.
+    """
 
     OPEN = "open"
     DELAYED = "delayed"
@@ -21,11 +29,15 @@
 
 
 class FaultyProxy:
-    """Forwards connections, or delays, swallows or resets them.
+    """Forwards connections, and can delay, discard or reset their bytes.
 
     Args:
-        listen: where it is reached.
-        target: what it stands in front of.
+        listen: Address to listen on.
+        target: Address to forward connections to.
+
+    Attributes:
+        mode: What it does with the bytes that it receives.
+        delay: Delay of each chunk in mode DELAYED, in seconds.
     """
 
     def __init__(self, listen: str, target: str) -> None:
@@ -37,34 +49,35 @@
         self._writers: set[asyncio.StreamWriter] = set()
 
     async def start(self) -> None:
-        """Begins to accept."""
+        """Starts to accept connections."""
         host, port = split_address(self._listen)
         self._server = await asyncio.start_server(self._serve, host, port)
 
     @property
     def address(self) -> tuple[str, int]:
-        """Where it listens, once it does."""
+        """The host and port that it listens on; only after `start`."""
         assert self._server is not None
         host, port = self._server.sockets[0].getsockname()[:2]
         return host, port
 
     def stop(self) -> None:
-        """Closes everything."""
+        """Stops listening and resets all open connections."""
         if self._server is not None:
             self._server.close()
         self.reset()
 
     def reset(self) -> None:
-        """Resets all connections that are open."""
+        """Resets all open connections, so that peers see ECONNRESET."""
         for writer in list(self._writers):
             if not writer.is_closing():
-                opened = writer.get_extra_info("socket")
-                opened.setsockopt(SOL_SOCKET, SO_LINGER, _LINGER_RESET)
+                connection = writer.get_extra_info("socket")
+                connection.setsockopt(SOL_SOCKET, SO_LINGER, _LINGER_RESET)
             writer.transport.abort()
 
     async def _serve(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
+        """Connects to the target and forwards both directions."""
         self._writers.add(writer)
         try:
             host, port = split_address(self._target)
@@ -94,8 +107,9 @@
         *,
         is_answer: bool,
     ) -> None:
+        """Forwards one direction of a connection until it ends."""
         try:
-            while data := await reader.read(_CHUNK):
+            while data := await reader.read(_CHUNK_BYTES):
                 if self._discards(is_answer=is_answer):
                     continue
                 if self.mode is Mode.DELAYED:
--- a/testing/soak/test_soak.py
+++ b/testing/soak/test_soak.py
@@ -1,4 +1,4 @@
-"""A short seeded soak, and every seed that ever failed."""
+"""Short soak runs, all seeds that once failed, and tests of the checks."""
 
 import asyncio
 import random
@@ -20,12 +20,12 @@
     RunIdentity,
 )
 
-_SHORT = [(1, 5.0, 3, 2), (2, 5.0, 3, 2)]
+_SHORT_RUNS = [(1, 5.0, 3, 2), (2, 5.0, 3, 2)]
 _REGRESSIONS = Path(__file__).with_name("regressions.txt")
 
 
 def read_regressions() -> list[tuple[int, float, int, int]]:
-    """Returns what the file of regressions names."""
+    """Returns seed, seconds, controls and fronts of each regression."""
     lines = _REGRESSIONS.read_text().splitlines()
     rows = [line.split(maxsplit=4) for line in lines if line[:1].isdigit()]
     return [(int(r[0]), float(r[1]), int(r[2]), int(r[3])) for r in rows]
@@ -33,8 +33,8 @@
 
 class TestSeeds:
     @pytest.mark.process
-    @pytest.mark.parametrize("case", [*_SHORT, *read_regressions()])
-    def test_every_promise_is_kept(
+    @pytest.mark.parametrize("case", [*_SHORT_RUNS, *read_regressions()])
+    def test_a_seed_violates_no_guarantee(
         self, case: tuple[int, float, int, int]
     ) -> None:
         verdict = run_seed(*case)
@@ -43,7 +43,7 @@
 
 
 class RecordedWorld:
-    """What `judge` looks at, without any process."""
+    """The parts of a `SoakWorld` that `judge` reads, without processes."""
 
     def __init__(self, *outcomes: RequestOutcome) -> None:
         self.outcomes = list(outcomes)
@@ -56,7 +56,7 @@
         self.disturbed: dict[str, list[float]] = {}
 
     def judge(self, *injected: InjectedFault) -> Verdict:
-        """Returns the verdict."""
+        """Returns the verdict on what was recorded, with these faults."""
         return judge(1, self, list(injected))  # type: ignore[arg-type]
 
 
@@ -68,7 +68,7 @@
         world.ledger.runs["r1"] = 2
         assert world.judge().count("doubled") == 1
 
-    def test_a_refusal_of_what_ran_is_found(self) -> None:
+    def test_a_not_run_status_for_a_request_that_ran_is_found(self) -> None:
         world = RecordedWorld(
             RequestOutcome("r1", "unsafe", "f", 0.0, 1.0, 503, True)
         )
@@ -78,7 +78,7 @@
     @pytest.mark.parametrize(
         ("name", "planned", "cut"), [("terminate", True, 1), ("kill", False, 0)]
     )
-    def test_only_planned_work_must_cut_nothing(
+    def test_only_a_cut_by_planned_work_is_a_violation(
         self, name: str, planned: bool, cut: int
     ) -> None:
         outcome = RequestOutcome("r1", "unsafe", "f", 5.0, 6.0, cut=True)
@@ -87,7 +87,9 @@
         fault = InjectedFault(name, 4.8, 7.0, planned)
         assert world.judge(fault).count("cut") == cut
 
-    def test_an_upstream_that_ends_is_no_planned_work(self) -> None:
+    def test_a_cut_during_an_upstream_crash_is_not_counted_as_planned(
+        self,
+    ) -> None:
         outcome = RequestOutcome("r1", "unsafe", "f", 5.0, 6.0, cut=True)
         world = RecordedWorld(outcome)
         world.ledger.runs["r1"] = 1
@@ -104,7 +106,7 @@
         world.ledger.orders["i-1"] = [("a:1", 4, 1.0), ("b:1", 3, 9.0)]
         assert world.judge().count("fencing") == 1
 
-    def test_a_harmful_request_that_is_sent_on_is_found(self) -> None:
+    def test_sends_of_a_known_harmful_request_are_found(self) -> None:
         world = RecordedWorld()
         ends = [Arrival(at, f"i-{at}", True) for at in (1.0, 2.0, 3.0)]
         late = [Arrival(at, "i-9", True) for at in (6.1, 6.2, 6.3, 6.4)]
@@ -113,13 +115,13 @@
         world.ledger.harmful[b"x"].pop()
         assert not world.judge().count("harmful")
 
-    def test_a_harmless_request_that_is_held_back_is_found(self) -> None:
+    def test_the_quarantine_of_a_harmless_request_is_found(self) -> None:
         outcome = RequestOutcome(
             "harmless-1", "safe", "f", 0.0, 0.1, 503, retry_after=3600.0
         )
         assert RecordedWorld(outcome).judge().count("shut_out") == 1
 
-    def test_sends_into_a_rest_are_found(self) -> None:
+    def test_sends_during_retry_after_are_found(self) -> None:
         outcomes = [
             RequestOutcome(f"r{n}", "safe", "f", n, n + 0.1) for n in range(5)
         ]
@@ -131,7 +133,7 @@
         world.disturbed["f"] = [0.5]
         assert not world.judge().count("rest")
 
-    def test_sends_to_one_that_leaves_are_found(self) -> None:
+    def test_sends_to_a_leaving_upstream_are_found(self) -> None:
         outcomes = [
             RequestOutcome(f"r{n}", "safe", "f", n, n + 0.1) for n in range(4)
         ]
@@ -143,7 +145,9 @@
         record.arrivals.append(("r3", 3.0))
         assert world.judge().count("leaving") == 1
 
-    def test_an_upstream_that_gets_more_than_it_names_is_found(self) -> None:
+    def test_more_requests_than_an_upstream_limit_allows_are_found(
+        self,
+    ) -> None:
         outcomes = [
             RequestOutcome(f"r{n}", "safe", "f", n / 10, n / 10)
             for n in range(60)
@@ -160,7 +164,9 @@
         world.disturbed["f"] = [0.5]
         assert not world.judge().count("named_limit")
 
-    def test_a_front_that_was_not_told_is_not_counted(self) -> None:
+    def test_a_front_that_was_not_notified_of_a_limit_is_not_counted(
+        self,
+    ) -> None:
         outcomes = [
             RequestOutcome(f"r{n}", "safe", "f", n / 10, n / 10)
             for n in range(60)
@@ -171,7 +177,7 @@
         record.arrivals += [(f"r{n}", n / 10) for n in range(60)]
         assert not world.judge().count("named_limit")
 
-    def test_the_line_names_every_total(self) -> None:
+    def test_the_summary_has_a_total_of_each_kind(self) -> None:
         verdict = Verdict(3, 10, {"doubled": ["r1", "r2"]})
         assert summarize([verdict, Verdict(4, 5)]) == (
             "soak: seeds=2 requests=15 lost=0 doubled=2 false_not_run=0"
@@ -182,7 +188,7 @@
 
 
 class TestProxy:
-    async def test_it_passes_swallows_and_resets(self) -> None:
+    async def test_it_forwards_discards_and_resets(self) -> None:
         async def echo(
             reader: asyncio.StreamReader, writer: asyncio.StreamWriter
         ) -> None:
@@ -208,61 +214,61 @@
 
 
 class TestKeyChecks:
-    def world(self, outcome: RequestOutcome, key: Key) -> RecordedWorld:
-        """Returns a world in which one caller used a key."""
+    def make_world(self, outcome: RequestOutcome, key: Key) -> RecordedWorld:
+        """Returns a world in which one request was sent with a key."""
         world = RecordedWorld(outcome)
         world.keys.keys["k"] = key
         outcome.key = "k"
         return world
 
-    def test_a_run_for_a_key_that_was_taken_away_is_found(self) -> None:
+    def test_a_run_with_a_removed_key_is_found(self) -> None:
         outcome = RequestOutcome("r1", "safe", "f", 10.0, 10.1, 200, True)
-        world = self.world(outcome, Key("k", "bob", 0.0, 6.9, 7.0))
+        world = self.make_world(outcome, Key("k", "bob", 0.0, 6.9, 7.0))
         world.ledger.identities["r1"] = RunIdentity(
             "bob", 10.0, received_key=False
         )
         assert world.judge().count("revoked") == 1
 
-    def test_one_within_the_bound_may_run(self) -> None:
+    def test_a_run_soon_after_a_key_is_removed_is_allowed(self) -> None:
         outcome = RequestOutcome("r1", "safe", "f", 8.0, 8.1, 200, True)
-        world = self.world(outcome, Key("k", "bob", 0.0, 6.9, 7.0))
+        world = self.make_world(outcome, Key("k", "bob", 0.0, 6.9, 7.0))
         world.ledger.identities["r1"] = RunIdentity(
             "bob", 8.0, received_key=False
         )
         assert not world.judge().violations
 
-    def test_an_upstream_that_learns_a_key_is_found(self) -> None:
+    def test_a_key_that_reaches_an_upstream_is_found(self) -> None:
         outcome = RequestOutcome("r1", "safe", "f", 8.0, 8.1, 200, True)
-        world = self.world(outcome, Key("k", "bob", 0.0))
+        world = self.make_world(outcome, Key("k", "bob", 0.0))
         world.ledger.identities["r1"] = RunIdentity(
             "bob", 8.0, received_key=True
         )
         assert world.judge().count("customer") == 1
 
-    def test_one_that_is_told_another_customer_is_found(self) -> None:
+    def test_a_run_for_the_wrong_customer_is_found(self) -> None:
         outcome = RequestOutcome("r1", "safe", "f", 8.0, 8.1, 200, True)
-        world = self.world(outcome, Key("k", "bob", 0.0))
+        world = self.make_world(outcome, Key("k", "bob", 0.0))
         world.ledger.identities["r1"] = RunIdentity(
             "mallory", 8.0, received_key=False
         )
         assert world.judge().count("customer") == 1
 
-    def test_a_key_in_force_that_is_called_unknown_is_found(self) -> None:
+    def test_the_refusal_of_a_valid_key_is_found(self) -> None:
         outcome = RequestOutcome("r1", "safe", "f", 8.0, 8.1, 401, True)
-        world = self.world(outcome, Key("k", "bob", 0.0))
+        world = self.make_world(outcome, Key("k", "bob", 0.0))
         assert world.judge().count("refused_key") == 1
 
-    def test_a_refusal_within_a_limit_is_found(self) -> None:
+    def test_a_refusal_within_a_customer_limit_is_found(self) -> None:
         outcome = RequestOutcome("r1", "safe", "f", 8.0, 8.1, 429, True)
-        world = self.world(outcome, Key("k", "bob", 0.0))
+        world = self.make_world(outcome, Key("k", "bob", 0.0))
         assert world.judge().count("refused_within") == 1
 
     def test_a_new_key_may_be_unknown_for_a_while(self) -> None:
         outcome = RequestOutcome("r1", "safe", "f", 8.0, 8.1, 401, True)
-        world = self.world(outcome, Key("k", "bob", 7.5))
+        world = self.make_world(outcome, Key("k", "bob", 7.5))
         assert not world.judge().violations
 
-    def test_a_customer_beyond_its_limit_is_found(self) -> None:
+    def test_a_customer_over_its_limit_is_found(self) -> None:
         world = RecordedWorld()
         for number in range(100):
             identity = RunIdentity(LIMITED, number / 20, received_key=False)
--- a/testing/soak/upstreams.py
+++ b/testing/soak/upstreams.py
@@ -1,4 +1,4 @@
-"""Upstreams that note what they run, so that promises can be checked."""
+"""Upstreams that record what they run, for checks of the guarantees."""
 
 import asyncio
 import itertools
@@ -17,9 +17,9 @@
 _HEARTBEAT_SECONDS = 0.5
 _STREAM_EVENTS = 3
 _NOT_RUN = "Not-Run: 1"
-# A request whose body begins so ends every upstream that begins it.
+# A request whose body has this prefix crashes every upstream that starts it.
 HARMFUL = b"harmful"
-# How long an upstream that ended so is away, in seconds.
+# Shortest and longest time that such an upstream stays down, in seconds.
 _DOWNTIME_SECONDS = (0.8, 2.0)
 _incarnations = itertools.count(1)
 
@@ -29,7 +29,9 @@
     """A harmful request that reached an upstream.
 
     Attributes:
-        crashed: whether the upstream began it, and so ended.
+        at: Loop time of the arrival, in seconds.
+        upstream: Name of the upstream's incarnation.
+        crashed: Whether the upstream started the request and so crashed.
     """
 
     at: float
@@ -39,13 +41,15 @@
 
 @attrs.frozen
 class Announcement:
-    """What an upstream said of itself in an answer.
+    """What an upstream announced about itself in an answer.
 
     Attributes:
-        request: that it answered.
-        rest: seconds for which it wants nothing from that front.
-        leaves: whether it said that it leaves.
-        limit: requests a second that it takes from all fronts; 0 for none.
+        request: Id of the request that it answered.
+        at: Loop time of the answer, in seconds.
+        retry_after: Seconds for which the front must send no more requests.
+        is_leaving: Whether it announced that it is leaving.
+        limit: Requests per second that it accepts from all fronts together; 0
+            if it announced no limit.
     """
 
     request: str
@@ -57,11 +61,13 @@
 
 @attrs.define
 class InstanceRecord:
-    """What one start of an upstream got and said.
+    """What one incarnation of an upstream received and announced.
 
     Attributes:
-        arrivals: when each request came, by its id.
-        limits: each limit that it began to name, and when; 0 for none.
+        arrivals: Id and loop time of each request that arrived.
+        announcements: What it announced, in order.
+        limits: Loop time and value of each change of its limit, in requests per
+            second; 0 withdraws the limit.
     """
 
     arrivals: list[tuple[str, float]] = attrs.Factory(list)
@@ -71,10 +77,12 @@
 
 @attrs.frozen
 class RunIdentity:
-    """Whose request an upstream was told that it ran.
+    """The identity that an upstream received with a request that it ran.
 
     Attributes:
-        knew_key: whether it also got the caller's key.
+        customer: Name of the customer that the front gave.
+        at: Loop time of the run, in seconds.
+        received_key: Whether the request still carried the caller's key.
     """
 
     customer: str
@@ -84,14 +92,16 @@
 
 @attrs.define
 class Ledger:
-    """What all upstreams have run, and in whose name they were ordered.
+    """What all upstreams ran, and the orders that engines received.
 
     Attributes:
-        runs: how often each request was run, by its id.
-        orders: holder, fencing token and time of each order, by engine.
-        harmful: arrivals of each harmful request, by its body.
-        instances: what each start of an upstream got and said, by its name.
-        identities: whose each run was, by the request's id.
+        runs: Number of runs of each request, by its id.
+        orders: Holder, fencing token and monotonic time in seconds of each
+            order, by engine.
+        harmful: Arrivals of each harmful request, by its body.
+        instances: What each incarnation of an upstream received and announced,
+            by its name.
+        identities: The identity received with each run, by the request's id.
     """
 
     runs: dict[str, int] = attrs.Factory(dict)
@@ -101,7 +111,7 @@
     identities: dict[str, RunIdentity] = attrs.Factory(dict)
 
     def record_run(self, call: Call) -> None:
-        """Counts a run."""
+        """Records a run of a request and the identity that came with it."""
         request = call.header("request-id")
         self.runs[request] = self.runs.get(request, 0) + 1
         now = asyncio.get_running_loop().time()
@@ -111,13 +121,17 @@
 
 
 class SoakUpstream:
-    """A plain service that may fail, fall and come back.
+    """A plain service that can refuse, hang, crash and restart.
 
     Args:
-        service: its name.
-        ledger: where it notes what it runs.
-        controls: addresses that take heartbeats.
-        rng: the source of its faults.
+        service: Name of the service.
+        ledger: Where it records what it runs.
+        controls: Addresses of the control nodes that take heartbeats.
+        rng: Random generator for its faults and the duration of its runs.
+
+    Attributes:
+        refuse_share: Share of requests that it refuses with 503.
+        hang_share: Share of requests that take 3 s longer.
     """
 
     def __init__(
@@ -130,36 +144,38 @@
         self.service = service
         self.refuse_share = 0.0
         self.hang_share = 0.0
-        # Share of requests that it turns away, asking for so many seconds.
+        # Share of requests that it refuses with Retry-After, and the seconds
+        # that it names there.
         self.retry_after_share = 0.0
         self.retry_after = 0.0
         self._ledger = ledger
         self._controls = list(controls)
         self._rng = rng
-        # For what came later than the seeds that are kept, which must not
-        # change what they play.
+        # Faults that use this generator instead of `_rng` don't change what the
+        # seeds in regressions.txt do.
         self._extra_rng = random.Random(f"{service} {controls}")
         self._tasks: list[asyncio.Task[None]] = []
         self._restart_task: asyncio.Task[None] | None = None
         self._begin_incarnation()
 
     def _begin_incarnation(self) -> None:
+        """Takes a new name and resets the state of the last incarnation."""
         self.name = f"i-{next(_incarnations)}"
         self.state = "ready"
-        # Whether it says in its answers that it leaves.
+        # Whether it announces in its answers that it is leaving.
         self.is_leaving = False
-        # Requests a second that it names in its answers; 0 for none.
+        # Requests per second that it announces in its answers; 0 for no limit.
         self.limit = 0.0
         self._sequence = 0
         self._scripted_server = ScriptedUpstream(self.name, self._serve)
 
     async def start(self) -> None:
-        """Begins to listen and to send heartbeats."""
+        """Starts to listen and to send heartbeats."""
         await self._scripted_server.start()
         self._tasks = [asyncio.create_task(self._send_heartbeats())]
 
     def crash(self) -> None:
-        """Ends it without a word; requests in progress are cut."""
+        """Stops it without notice; requests in progress are cut."""
         if self._restart_task is not None:
             self._restart_task.cancel()
         for task in self._tasks:
@@ -170,12 +186,12 @@
                 call.reset()
 
     async def restart(self) -> None:
-        """Starts it as another incarnation."""
+        """Starts a new incarnation."""
         self._begin_incarnation()
         await self.start()
 
     def _crash_temporarily(self) -> None:
-        """Ends it, and has it back at the same address after a while."""
+        """Crashes it, and restarts it later at the same address."""
         self.crash()
         seconds = self._extra_rng.uniform(*_DOWNTIME_SECONDS)
         self._restart_task = asyncio.create_task(self._restart_after(seconds))
@@ -188,7 +204,7 @@
         self._tasks = [asyncio.create_task(self._send_heartbeats())]
 
     def _record_if_harmful(self, call: Call) -> bool:
-        """Notes a harmful request; returns whether this one ends under it."""
+        """Records the request if it is harmful; returns whether it is."""
         if not call.body.startswith(HARMFUL):
             return False
         now = asyncio.get_running_loop().time()
@@ -204,8 +220,9 @@
             await asyncio.sleep(_HEARTBEAT_SECONDS)
 
     async def _send_heartbeat(self) -> None:
+        """Sends a heartbeat to the first control node that accepts it."""
         self._sequence += 1
-        said = {
+        heartbeat = {
             "service": self.service,
             "address": self._scripted_server.address,
             "zone": "a",
@@ -214,7 +231,7 @@
             "sequence": self._sequence,
             **self._engine_fields(),
         }
-        body = msgspec.json.encode(said)
+        body = msgspec.json.encode(heartbeat)
         for address in self._controls:
             path = f"/ridgesill/Instances.Heartbeat/{self.name}"
             answer = await send_http_request(
@@ -224,17 +241,22 @@
                 return
 
     def _engine_fields(self) -> dict[str, Any]:
+        """Returns the heartbeat fields that only engines send."""
         return {}
 
     # -- requests ------------------------------------------------------
 
     @property
     def record(self) -> InstanceRecord:
-        """What this start of it got and said."""
+        """What this incarnation received and announced."""
         return self._ledger.instances.setdefault(self.name, InstanceRecord())
 
     def name_limit(self, limit: float) -> None:
-        """Names a limit in all answers from now on; 0 takes it back."""
+        """Announces a limit in all answers from now on.
+
+        Args:
+            limit: Requests per second; 0 withdraws the limit.
+        """
         self.limit = limit
         self.record.limits.append((asyncio.get_running_loop().time(), limit))
 
@@ -264,7 +286,11 @@
         )
 
     async def _refuse_with_retry_after(self, call: Call) -> bool:
-        """Notes a request; asks for rest if it is one too many."""
+        """Records a request and refuses a random share with Retry-After.
+
+        Returns:
+            Whether the request was refused.
+        """
         now = asyncio.get_running_loop().time()
         request = call.header("request-id")
         self.record.arrivals.append((request, now))
@@ -273,14 +299,14 @@
         self.record.announcements.append(
             Announcement(request, now, retry_after=self.retry_after)
         )
-        retry_after = f"Retry-After: {self.retry_after:.2f}"
+        header = f"Retry-After: {self.retry_after:.2f}"
         await call.answer(
-            503, b"", _NOT_RUN, retry_after, *self._limit_headers(call)
+            503, b"", _NOT_RUN, header, *self._limit_headers(call)
         )
         return True
 
     def _announcement_headers(self, call: Call) -> tuple[str, ...]:
-        """Returns what it says of itself in an answer."""
+        """Returns the headers of an answer with its current announcements."""
         return (*self._leaving_headers(call), *self._limit_headers(call))
 
     def _limit_headers(self, call: Call) -> tuple[str, ...]:
@@ -305,7 +331,7 @@
 
 
 class SoakEngine(SoakUpstream):
-    """A model engine that takes orders and streams."""
+    """A model engine that executes orders and streams answers."""
 
     def _begin_incarnation(self) -> None:
         super()._begin_incarnation()
@@ -321,8 +347,8 @@
         elif path == "/ridgesill/order":
             await self._handle_order(call)
         elif path == "/ridgesill/report":
-            said = self.engine.report(time.monotonic())
-            await call.answer(200, msgspec.json.encode(said))
+            report = self.engine.report(time.monotonic())
+            await call.answer(200, msgspec.json.encode(report))
         elif self._record_if_harmful(call):
             self._crash_temporarily()
         elif not await self._refuse_with_retry_after(call):
