--- a/bench/recovery.py
+++ b/bench/recovery.py
@@ -119,7 +119,7 @@
     try:
         await world.start()
         await asyncio.sleep(_TRAFFIC_BEFORE_SECONDS)
-        answers_before, acknowledged = len(world.told), world.acknowledged
+        answers_before, acknowledged = len(world.outcomes), world.acknowledged
         orders_before = _count_orders(world)
         began = loop.time()
         await DisasterPlayer(world).play(name)
@@ -151,7 +151,7 @@
 def _has_served(world: SoakWorld, answers_before: int, began: float) -> bool:
     return any(
         entry.status == 200 and entry.began > began
-        for entry in world.told[answers_before:]
+        for entry in world.outcomes[answers_before:]
     )
 
 
--- a/testing/soak/world.py
+++ b/testing/soak/world.py
@@ -1,4 +1,4 @@
-"""A deployment under faults: processes, proxies, upstreams and callers."""
+"""The deployment of a soak run: processes, proxies, upstreams and callers."""
 
 import asyncio
 import random
@@ -15,26 +15,32 @@
     UNSAFE,
     Caller,
     RepeatingCaller,
-    Told,
+    RequestOutcome,
 )
 from testing.soak.keys import KeyRing
 from testing.soak.proxy import FaultyProxy
 from testing.soak.upstreams import (
+    ADAPTER_SLOTS,
     HARMFUL,
     MODELS,
-    PLACES,
     Ledger,
     SoakEngine,
     SoakUpstream,
 )
 
-_CALLERS_A_FRONT = 2
-# Added to the port on which a control node is reached by its peers.
-_BEHIND_PROXY = 5
+_CALLERS_PER_FRONT = 2
+# A control node listens for its peers at their port plus this offset; the
+# proxy listens at the port itself.
+_PROXIED_PORT_OFFSET = 5
 
 
 def make_document(version: int, customers: list[dict[str, Any]]) -> bytes:
-    """Returns a configuration with a route of each kind."""
+    """Returns an encoded configuration with a route of each kind.
+
+    Args:
+        version: Version of the configuration.
+        customers: Customers with their keys and limits.
+    """
     kinds = {"safe": "plain", "unsafe": "plain", "stream": "engine"}
     routes = [
         {
@@ -53,7 +59,7 @@
     engine = {
         "slots": 8,
         "weights_mb": 1100.0,
-        "adapter_slots": PLACES,
+        "adapter_slots": ADAPTER_SLOTS,
         "loads_per_s": 10.0,
         "models": MODELS,
     }
@@ -70,13 +76,20 @@
 
 
 class SoakWorld(PlatformDeployment):
-    """Everything that a seed plays with.
+    """The deployment that one seed runs against.
 
     Args:
-        folder: for settings, disks and logs.
-        seed: of all chance.
-        controls: how many control nodes.
-        fronts: how many fronts.
+        folder: Directory for settings, disks and logs.
+        seed: Seed of all random generators.
+        controls: Number of control nodes.
+        fronts: Number of fronts.
+
+    Attributes:
+        outcomes: What each request's caller saw, in order of sending.
+        acknowledged: Highest configuration version that was acknowledged.
+        sent: Highest configuration version that was sent.
+        reverted: Reads that returned an older version than acknowledged.
+        paused_until: Loop time at which a VM last resumed, by its name.
     """
 
     def __init__(
@@ -86,12 +99,12 @@
         self.seed = seed
         self.rng = random.Random(seed)
         self.ledger = Ledger()
-        self.told: list[Told] = []
+        self.outcomes: list[RequestOutcome] = []
         self.acknowledged = 0
         self.sent = 0
         self.reverted: list[str] = []
         self.paused_until: dict[str, float] = {}
-        # When each VM was disturbed, and was back.
+        # Loop times at which a fault hit each VM or ended there, by its name.
         self.disturbed: dict[str, list[float]] = {}
         self._repeat_rng = random.Random(f"repeat {seed}")
         self.keys = KeyRing(random.Random(f"keys {seed}"))
@@ -116,14 +129,14 @@
 
     def _make_proxy(self, vm: Vm) -> FaultyProxy:
         peers = f"{vm.ip}:{self._ports[3]}"
-        behind = f"{vm.ip}:{self._ports[3] + _BEHIND_PROXY}"
+        behind = f"{vm.ip}:{self._ports[3] + _PROXIED_PORT_OFFSET}"
         vm.environment["RIDGESILL_PEERS_LISTEN"] = behind
         return FaultyProxy(peers, behind)
 
-    # -- life ----------------------------------------------------------
+    # -- start and stop ------------------------------------------------
 
     async def start(self) -> None:
-        """Starts everything, and waits until each front serves."""
+        """Starts everything and waits until each front serves requests."""
         for proxy in self.proxies.values():
             await proxy.start()
         for vm in self.vms:
@@ -133,36 +146,48 @@
         await self.put_next()
         await self.until_served()
         self._tasks = [
-            asyncio.create_task(self._caller(vm, number).run())
+            asyncio.create_task(self._make_caller(vm, number).run())
             for vm in self.fronts
-            for number in range(_CALLERS_A_FRONT)
+            for number in range(_CALLERS_PER_FRONT)
         ]
-        self._tasks.append(asyncio.create_task(self._operate()))
+        self._tasks.append(asyncio.create_task(self._run_operator()))
 
-    def repeat_some(self) -> None:
-        """Has a harmful request and harmless ones repeated word for word."""
+    def start_repeating_callers(self) -> None:
+        """Starts callers that repeat a harmful and some harmless requests."""
         kinds = (SAFE, UNSAFE, STREAM)
         harmful = self._repeat_rng.choice(kinds)
         self.repeat("harmful", harmful, HARMFUL + b" one")
         for kind in kinds:
             self.repeat(f"harmless-{kind}", kind, b"the same again")
 
-    def _caller(self, vm: Vm, number: int) -> Caller:
+    def _make_caller(self, vm: Vm, number: int) -> Caller:
         front = (vm.name, f"{vm.ip}:{self._ports[0]}")
         rng = random.Random(self.rng.random())
         return Caller(
-            f"{vm.name}-{number}", front, rng, self.told, self._choose_key
+            f"{vm.name}-{number}", front, rng, self.outcomes, self._choose_key
         )
 
     def _choose_key(self) -> str:
         return self.keys.choose(self._key_rng)
 
     def repeat(self, name: str, kind: str, body: bytes) -> None:
-        """Has a caller send one request again and again, at any front."""
+        """Starts a caller that sends the same request through all fronts.
+
+        Args:
+            name: Prefix of the request ids.
+            kind: Kind of the request.
+            body: Body of the request.
+        """
         fronts = [(vm.name, f"{vm.ip}:{self._ports[0]}") for vm in self.fronts]
         rng = random.Random(self._repeat_rng.random())
         caller = RepeatingCaller(
-            name, fronts, kind, body, rng, self.told, self._choose_steady_key
+            name,
+            fronts,
+            kind,
+            body,
+            rng,
+            self.outcomes,
+            self._choose_steady_key,
         )
         self._tasks.append(asyncio.create_task(caller.run()))
 
@@ -170,7 +195,7 @@
         return self.keys.choose(self._key_rng, "alice")
 
     async def end_traffic(self) -> None:
-        """Stops callers and the operator."""
+        """Stops the callers and the operator."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -189,32 +214,42 @@
 
     # -- the operator --------------------------------------------------
 
-    async def _operate(self) -> None:
+    async def _run_operator(self) -> None:
+        """Changes and reads the configuration until cancelled."""
         while True:
             await asyncio.sleep(self.rng.uniform(0.2, 0.8))
-            await self.put_next(patience=2.0)
+            await self.put_next(timeout_seconds=2.0)
             await self.read_back()
 
-    async def put_next(self, patience: float = 20.0) -> None:
-        """Sends the next configuration until it is taken or time is up."""
+    async def put_next(self, timeout_seconds: float = 20.0) -> None:
+        """Sends the next configuration until a node acknowledges it.
+
+        Gives up after `timeout_seconds`.
+        """
         self.sent += self.rng.randint(1, 3)
         version = self.sent
         loop = asyncio.get_running_loop()
         body = make_document(version, self.keys.draft(loop.time()))
-        deadline = loop.time() + patience
+        deadline = loop.time() + timeout_seconds
         while loop.time() < deadline:
             vm = self.rng.choice(self.controls)
-            if await self._call(vm, "POST", "Configuration.Put", body):
+            if await self._call_control(vm, "POST", "Configuration.Put", body):
                 self.acknowledged = max(self.acknowledged, version)
                 self.keys.confirm(loop.time())
                 return
             await asyncio.sleep(0.1)
 
     async def read_back(self) -> int | None:
-        """Reads the configuration at a node that is sure of it."""
+        """Reads the configuration's version at a randomly chosen node.
+
+        Records a read that is older than what was acknowledged before it.
+
+        Returns:
+            The version, or None if the node can't answer.
+        """
         before = self.acknowledged
         vm = self.rng.choice(self.controls)
-        answer = await self._call(vm, "GET", "Configuration.Get")
+        answer = await self._call_control(vm, "GET", "Configuration.Get")
         if answer is None:
             return None
         version = int(msgspec.json.decode(answer.data)["version"])
@@ -222,11 +257,13 @@
             self.reverted.append(f"{vm.name} read {version} after {before}")
         return version
 
-    async def is_sure(self, vm: Vm) -> bool:
-        """Whether a control node can tell the newest configuration."""
-        return await self._call(vm, "GET", "Configuration.Get") is not None
+    async def can_read_configuration(self, vm: Vm) -> bool:
+        """Returns whether a control node can serve the newest configuration."""
+        return (
+            await self._call_control(vm, "GET", "Configuration.Get") is not None
+        )
 
-    async def _call(
+    async def _call_control(
         self, vm: Vm, method: str, name: str, body: bytes = b""
     ) -> Any:
         url = f"http://{self.control_address(vm)}/ridgesill/{name}"
@@ -236,7 +273,14 @@
     # -- recovery ------------------------------------------------------
 
     async def until_served(self, seconds: float = 20.0) -> None:
-        """Waits until every front serves every kind of request."""
+        """Waits until every front serves every kind of request.
+
+        Args:
+            seconds: Longest wait for each front and kind.
+
+        Raises:
+            AssertionError: A front doesn't serve a kind in time.
+        """
         for number, vm in enumerate(self.fronts):
             for kind in ("safe", "unsafe", "stream"):
                 await self.poll(
@@ -245,6 +289,7 @@
                 )
 
     async def _try_once(self, number: int, vm: Vm, kind: str) -> Any:
-        caller = self._caller(vm, 100 + number + 10 * len(self.told))
-        told = await caller.ask(kind)
-        return told if told.status == 200 and told.complete else None
+        """Sends one request; returns its outcome if it succeeded, else None."""
+        caller = self._make_caller(vm, 100 + number + 10 * len(self.outcomes))
+        outcome = await caller.ask(kind)
+        return outcome if outcome.status == 200 and outcome.complete else None
