--- a/src/ridgesill/adapters/admin_http.py
+++ b/src/ridgesill/adapters/admin_http.py
@@ -62,24 +62,17 @@
         handler = self._routes.get(route)
         if handler is None:
             known = ", ".join(" ".join(r) for r in self._routes)
-            return _error_response(
-                404, f"unknown path or method; use one of {known}"
-            )
+            return _error_response(404, f"no such path; known are {known}")
         return handler(environ)
 
     def _apply_configuration(self, environ: dict[str, Any]) -> HttpResponse:
         operation = environ.get("HTTP_X_OPERATION_ID", "")
         if not 0 < len(operation) <= _MAX_OPERATION_ID_CHARS:
-            return _error_response(
-                400,
-                "X-Operation-Id is missing or too long; send a unique id",
-            )
+            return _error_response(400, "X-Operation-Id must name this attempt")
         try:
             declared = _DECODER.decode(read_body(environ, _MAX_BODY_BYTES))
         except (BodyError, msgspec.MsgspecError) as error:
-            return _error_response(
-                400, f"invalid configuration document: {error}"
-            )
+            return _error_response(400, f"no declaration: {error}")
         mistakes = find_mistakes(declared)
         if mistakes:
             return _error_response(422, "; ".join(map(_describe, mistakes)))
--- a/src/ridgesill/adapters/announce_http.py
+++ b/src/ridgesill/adapters/announce_http.py
@@ -47,7 +47,7 @@
         """Serves a request with an announcement."""
         if environ["PATH_INFO"] != ANNOUNCE_PATH:
             response = json_response(
-                404, {"error": f"unknown path; use POST {ANNOUNCE_PATH}"}
+                404, {"error": f"try POST {ANNOUNCE_PATH}"}
             )
             return send_response(response, start_response)
         try:
@@ -55,7 +55,7 @@
             announcement = _DECODER.decode(body)
         except (BodyError, msgspec.MsgspecError) as error:
             response = json_response(
-                400, {"error": f"invalid announcement: {error}"}
+                400, {"error": f"no announcement: {error}"}
             )
             return send_response(response, start_response)
         self._log_unknown_fields(announcement, body)
--- a/src/ridgesill/adapters/caller_http.py
+++ b/src/ridgesill/adapters/caller_http.py
@@ -136,11 +136,7 @@
         if direct is not None:
             return send_response(direct, start_response)
         if not self._acquire_slot():
-            refusal = Refusal(
-                calls.TOO_MANY,
-                "this node serves its maximum number of requests; retry later",
-                1.0,
-            )
+            refusal = Refusal(calls.TOO_MANY, "too many streams here", 1.0)
             return send_response(_refusal_response(refusal), start_response)
         try:
             body = self._serve(environ, start_response)
@@ -159,13 +155,11 @@
         if path == "/v1/models" and method == "GET":
             return self._list_models()
         if path in _COMPLETION_PATHS and method != "POST":
-            return _invalid_response(
-                InvalidRequest(405, f"{path} requires POST")
-            )
+            return _invalid_response(InvalidRequest(405, f"{path} takes POST"))
         if path in _COMPLETION_PATHS or path.startswith(_SERVICES_PREFIX):
             return None
         detail = (
-            f"unknown path; use {_COMPLETION_PATHS[0]} or "
+            f"no such path; try {_COMPLETION_PATHS[0]} or "
             f"{_SERVICES_PREFIX}NAME/"
         )
         return _invalid_response(InvalidRequest(404, detail))
@@ -237,7 +231,7 @@
         try:
             document = msgspec.json.decode(body)
         except msgspec.DecodeError:
-            return Err(InvalidRequest(400, "the body is not valid JSON"))
+            return Err(InvalidRequest(400, "the body is no JSON"))
         if not isinstance(document, dict):
             return Err(InvalidRequest(400, "the body must be a JSON object"))
         model = document.get("model")
@@ -342,10 +336,7 @@
         timeout = math.nan
     if not 0 < timeout <= 600:
         return Err(
-            InvalidRequest(
-                400,
-                "X-Ridgesill-Timeout must be seconds above 0, at most 600",
-            )
+            InvalidRequest(400, "X-Ridgesill-Timeout must be seconds, 0 to 600")
         )
     request = secrets.token_hex(8)
     headers = _forwarded_headers(environ)
--- a/src/ridgesill/adapters/http1/channel.py
+++ b/src/ridgesill/adapters/http1/channel.py
@@ -63,7 +63,7 @@
     def data_received(self, data: bytes) -> None:
         """Parses response bytes; closes the connection if none is awaited."""
         if not self._is_busy:
-            self.close("received bytes while no request was in progress")
+            self.close("bytes came that belong to no request")
             return
         try:
             self._parser.receive_data(data)
--- a/src/ridgesill/adapters/http1/client.py
+++ b/src/ridgesill/adapters/http1/client.py
@@ -222,7 +222,7 @@
                 attempt, self._connect_seconds
             )
         except (OSError, TimeoutError) as error:
-            detail = str(error) or "no connection within the timeout"
+            detail = str(error) or "no channel came up in time"
             raise ChannelError("connect", address, detail, False) from error
         finally:
             self._opening[address] -= 1
--- a/src/ridgesill/adapters/http1/server.py
+++ b/src/ridgesill/adapters/http1/server.py
@@ -108,7 +108,7 @@
         except h11.RemoteProtocolError as error:
             self._reject(error.error_status_hint, str(error))
         except _BodyTooLargeError:
-            self._reject(413, "the request body is larger than the limit")
+            self._reject(413, "the body is over the limit")
 
     def _process_events(self) -> None:
         while self._task is None and not self._is_closed:
@@ -265,7 +265,7 @@
         elapsed_seconds = now - self._period_started_at
         if self._receiving and self._head is None:
             if elapsed_seconds > limits.header_seconds:
-                self._reject(408, "the request head did not arrive in time")
+                self._reject(408, "the head did not arrive in time")
         elif elapsed_seconds > limits.idle_seconds:
             self._close()
 
--- a/src/ridgesill/adapters/http_server.py
+++ b/src/ridgesill/adapters/http_server.py
@@ -82,7 +82,7 @@
             return app(environ, start_response)
         except Exception:  # noqa: BLE001 - no caller handles it
             write_traceback()
-            error = {"message": "internal error", "type": "server_error"}
+            error = {"message": "an internal fault", "type": "server_error"}
             return send_response(
                 json_response(500, {"error": error}), start_response
             )
@@ -162,7 +162,7 @@
     """
     length = environ.get("CONTENT_LENGTH") or "-1"
     if not length.lstrip("-").isdigit():
-        raise BodyError("Content-Length is not a number")
+        raise BodyError("Content-Length is no number")
     if int(length) > limit:
         raise BodyError(f"the body is larger than {limit} bytes")
     stream = environ["wsgi.input"]
@@ -175,7 +175,7 @@
     except (OSError, ValueError) as error:
         raise BodyError("the body could not be read in time") from error
     if int(length) >= 0 and len(data) < int(length):
-        raise BodyError("the body is shorter than its Content-Length")
+        raise BodyError("the body ended early")
     return bytes(data)
 
 
--- a/src/ridgesill/adapters/peer_rpc.py
+++ b/src/ridgesill/adapters/peer_rpc.py
@@ -291,13 +291,13 @@
             self._enqueue(address, envelope)
             reply = await asyncio.wait_for(future, timeout)
         except TimeoutError as error:
-            raise PeerError(step, address, "no reply in time") from error
+            raise PeerError(step, address, "no answer in time") from error
         except ConnectionError as error:
             raise PeerError(step, address, str(error)) from error
         finally:
             link.calls.pop(call_id, None)
         if reply.error or not reply.body:
-            raise PeerError(step, address, reply.error or "empty reply")
+            raise PeerError(step, address, reply.error or "empty answer")
         return decode_body(reply.body)
 
     async def _call_self(self, step: str, message: Any, timeout: float) -> Any:
@@ -307,7 +307,7 @@
             return await asyncio.wait_for(answer, timeout)
         except TimeoutError as error:
             own = self._own_address
-            raise PeerError(step, own, "no reply in time") from error
+            raise PeerError(step, own, "no answer in time") from error
 
     async def close(self) -> None:
         """Closes all streams."""
@@ -343,10 +343,10 @@
                 await self._run_stream(link)
             except _CONNECTION_ERRORS as error:
                 self._fail_calls(
-                    link, str(error) or "no reply to a ping in time"
+                    link, str(error) or "no answer of any kind in time"
                 )
             else:
-                self._fail_calls(link, "the peer closed the stream")
+                self._fail_calls(link, "stream ended")
             await asyncio.sleep(_RECONNECT_DELAY_SECONDS)
 
     async def _run_stream(self, link: _Link) -> None:
--- a/src/ridgesill/adapters/runner_http.py
+++ b/src/ridgesill/adapters/runner_http.py
@@ -151,7 +151,7 @@
 ) -> Result[HttpRunnerResponse, RunnerFailure]:
     if response.headers.get(UNSTARTED_HEADER, "") != "true":
         return Ok(HttpRunnerResponse(response))
-    detail = f"status {response.status}; the runner did not start the request"
+    detail = f"status {response.status}, not started"
     absent = response.status == 404
     response.drain_conn()
     response.release_conn()
--- a/src/ridgesill/app/administration.py
+++ b/src/ridgesill/app/administration.py
@@ -73,9 +73,7 @@
                     command, _APPLY_TIMEOUT_SECONDS
                 )
             except UnavailableError as error:
-                detail = (
-                    f"{error}; send the same file again to learn the result"
-                )
+                detail = f"{error}; send the same file again to learn its fate"
                 state = self._control.state
                 return ApplyResult(
                     "unknown", state.version, state.digest, detail
--- a/src/ridgesill/app/control.py
+++ b/src/ridgesill/app/control.py
@@ -447,8 +447,7 @@
                 index = -1
         if index < 0:
             raise UnavailableError(
-                f"confirming the newest state: no quorum answered within "
-                f"{timeout} s; retry, and check that most voters run"
+                f"reading the newest: no quorum confirmed it in {timeout} s"
             )
 
     async def _ask_latest(self, deadline: float) -> int:
@@ -526,10 +525,7 @@
             attempts += 1
             await asyncio.sleep(_RETRY_SECONDS)
         step = type(command).__name__
-        raise UnavailableError(
-            f"{step}: no leader answered within {timeout} s; retry, and check "
-            f"that most voters run"
-        )
+        raise UnavailableError(f"{step}: no leader answered in {timeout} s")
 
     async def _propose_once(self, encoded: bytes, attempts: int) -> bytes:
         request = Propose(encoded)
--- a/src/ridgesill/app/control_api.py
+++ b/src/ridgesill/app/control_api.py
@@ -81,7 +81,7 @@
 
     @singledispatchmethod
     async def _handle_call(self, call: Any) -> CallReply:
-        raise TypeError(f"no handler for control call {type(call).__name__}")
+        raise TypeError(f"no control call: {type(call).__name__}")
 
     @_handle_call.register
     async def _(self, call: BadCall) -> CallReply:
@@ -148,10 +148,7 @@
             return _reply_unavailable("read", str(error))
         document = self._control.state.routes_document
         if not document:
-            return CallReply(
-                404,
-                "reading the configuration: there is none yet; put one first",
-            )
+            return CallReply(404, "no configuration has been put yet")
         return CallReply(200, document=zlib.decompress(document))
 
     @_handle_call.register
@@ -186,11 +183,7 @@
     @_handle_call.register
     async def _(self, call: LiftQuarantineCall) -> CallReply:
         if not self._control.state.suspects.has_content(call.request):
-            return CallReply(
-                404,
-                "lifting the quarantine: no such fingerprint is recorded; list "
-                "the quarantine for those that are",
-            )
+            return CallReply(404, "nothing is held against such a request")
         command = LiftQuarantine(call.request)
         try:
             await self._control.propose(command, _PROPOSE_SECONDS)
--- a/src/ridgesill/app/control_process.py
+++ b/src/ridgesill/app/control_process.py
@@ -146,19 +146,13 @@
             if isinstance(message, Follow):
                 self._formation.record_node(message.beat.node)
             step = type(message).__name__
-            raise PeerError(
-                step,
-                self._node.name,
-                "this node has not joined a log yet; retry",
-            )
+            raise PeerError(step, self._node.name, "no log is formed here yet")
         return await self._handle_message(message, sender)
 
     @singledispatchmethod
     async def _handle_message(self, message: Any, sender: str) -> Any:
         step = type(message).__name__
-        raise PeerError(
-            step, sender, "a control node doesn't handle such messages"
-        )
+        raise PeerError(step, sender, "a control node takes no such message")
 
     @_handle_message.register
     async def _(self, message: ReplicaMessage, sender: str) -> None:
--- a/src/ridgesill/app/fleet_owner.py
+++ b/src/ridgesill/app/fleet_owner.py
@@ -372,10 +372,7 @@
     async def _forward_to_owner(self, message: Any) -> None:
         leader = self._control.leader_address()
         if not leader or leader == self._control.node.address:
-            raise NotOwnerError(
-                "forwarding to the owner: no other node is known to own the "
-                "fleet; retry, or send to another control node"
-            )
+            raise NotOwnerError("no owner is known")
         try:
             await self._control.peers.call(leader, message, _FORWARD_SECONDS)
         except PeerError as error:
@@ -390,11 +387,7 @@
             PeerError: this node does not own the fleet.
         """
         if not self.is_owner():
-            raise PeerError(
-                type(message).__name__,
-                "here",
-                "this node does not own the fleet",
-            )
+            raise PeerError(type(message).__name__, "here", "not the owner")
         if isinstance(message, HeardLeave):
             self.handle_leave(message)
         else:
@@ -525,11 +518,8 @@
 
     def _check_owner(self) -> None:
         if not self.is_owner():
-            owner = self._control.leader_address() or "not known yet"
-            raise NotOwnerError(
-                f"this node does not own the fleet; the owner is {owner}; "
-                "send the call to the owner"
-            )
+            owner = self._control.leader_address() or "nobody known"
+            raise NotOwnerError(f"the fleet's owner is {owner}; ask there")
 
     def list_quotas(self) -> list[QuotaUse]:
         """Returns the use of customers that have a limit.
--- a/src/ridgesill/app/once.py
+++ b/src/ridgesill/app/once.py
@@ -119,7 +119,7 @@
 ) -> OnceRecord | Refusal:
     """Returns the record to answer from, or why its key cannot be used."""
     if record.outcome == commands.FULL:
-        detail = "too many idempotency keys are stored; try again later"
+        detail = "too many keys are held; try again later"
         return Refusal(calls.KEYS_FULL, detail, 60.0, key.team)
     if record.digest != key.digest:
         detail = "this Idempotency-Key was used for another request"
--- a/src/ridgesill/app/order_holder.py
+++ b/src/ridgesill/app/order_holder.py
@@ -72,10 +72,7 @@
                 age=round(self._loop.time() - message.stamp, 3),
                 term=message.term,
             )
-            return OrderAnswer(
-                Delivery.NOT_SENT,
-                "the order is too old or for another holder; not sent",
-            )
+            return OrderAnswer(Delivery.NOT_SENT, "its word is too old")
         return await deliver_order(self._channels, self._calls, order)
 
 
--- a/src/ridgesill/app/pools.py
+++ b/src/ridgesill/app/pools.py
@@ -199,9 +199,7 @@
         Raises:
             TypeError: no handler is registered for the message's type.
         """
-        raise TypeError(
-            f"no pool handler is registered for {type(message).__name__}"
-        )
+        raise TypeError(f"no message for pools: {type(message).__name__}")
 
     @handle.register
     async def _(self, message: Admit) -> Any:
--- a/src/ridgesill/core/codec.py
+++ b/src/ridgesill/core/codec.py
@@ -42,9 +42,7 @@
     """
     name = type(message).__name__
     if name not in _CLASSES:
-        raise DecodeError(
-            f"{name} is not a registered message; decorate it with @register"
-        )
+        raise DecodeError(f"{name} is not a registered message")
     return _ENCODER.encode((name, message))
 
 
@@ -58,7 +56,7 @@
         name, body = _ENVELOPE.decode(data)
         return _decoder(name).decode(body)
     except msgspec.MsgspecError as error:
-        raise DecodeError(f"can't decode message: {error}") from error
+        raise DecodeError(f"undecodable message: {error}") from error
 
 
 def _decoder(name: str) -> msgspec.msgpack.Decoder:
@@ -66,9 +64,7 @@
     decoder = _DECODERS.get(name)
     if decoder is None:
         if name not in _CLASSES:
-            raise DecodeError(
-                f"can't decode message: no class is registered as {name!r}"
-            )
+            raise DecodeError(f"unknown message {name!r}")
         decoder = msgspec.msgpack.Decoder(_CLASSES[name])
         _DECODERS[name] = decoder
     return decoder
--- a/src/ridgesill/platform/configuration.py
+++ b/src/ridgesill/platform/configuration.py
@@ -35,10 +35,7 @@
     """
 
     def __init__(self, location: str, problem: str) -> None:
-        super().__init__(
-            f"{location}: {problem}; nothing was changed, correct the document "
-            "and send it again"
-        )
+        super().__init__(f"{location}: {problem}; nothing was changed")
         self.location = location
 
 
@@ -64,7 +61,7 @@
         InvalidConfigurationError: any part of the document is invalid.
     """
     parsed = _parse(document)
-    version = _get_integer(parsed, "version", "configuration")
+    version = _get_integer(parsed, "version", "the configuration")
     services = [
         _decode_service(item) for item in _get_objects(parsed, "services")
     ]
@@ -92,7 +89,7 @@
         InvalidConfigurationError: a field is missing or invalid.
     """
     parsed = _parse(document)
-    location = "adapter version"
+    location = "the adapter's version"
     return AdapterVersion(
         _get_text(parsed, "model", location),
         str(parsed.get("adapter") or ""),
@@ -104,11 +101,11 @@
     try:
         parsed = msgspec.json.decode(document)
     except msgspec.DecodeError as error:
-        raise InvalidConfigurationError("body", f"not JSON: {error}") from (
+        raise InvalidConfigurationError("the body", f"not JSON: {error}") from (
             error
         )
     if not isinstance(parsed, dict):
-        raise InvalidConfigurationError("body", "not a JSON object")
+        raise InvalidConfigurationError("the body", "not a JSON object")
     return parsed
 
 
@@ -124,9 +121,7 @@
 def _get_text(item: dict[str, Any], field: str, location: str) -> str:
     value = item.get(field)
     if not isinstance(value, str) or not value:
-        raise InvalidConfigurationError(
-            f"{location}: {field}", "not a non-empty string"
-        )
+        raise InvalidConfigurationError(f"{location}: {field}", "not a text")
     return value
 
 
@@ -134,7 +129,7 @@
     value = item.get(field)
     if not isinstance(value, int) or isinstance(value, bool) or value < 0:
         raise InvalidConfigurationError(
-            f"{location}: {field}", "not an integer of 0 or more"
+            f"{location}: {field}", "not a whole number"
         )
     return value
 
@@ -149,7 +144,7 @@
 
 
 def _decode_route(item: dict[str, Any], services: set[str]) -> Route:
-    name = _get_text(item, "name", "route")
+    name = _get_text(item, "name", "a route")
     location = f"route {name}"
     kind = _get_text(item, "kind", location)
     if kind not in _ROUTE_KINDS:
@@ -159,7 +154,7 @@
     timeout = _get_number(item, "timeout_ms") / _MILLISECONDS_PER_SECOND
     if timeout <= 0:
         raise InvalidConfigurationError(
-            f"{location}: timeout_ms", "not greater than 0"
+            f"{location}: timeout_ms", "not above 0"
         )
     return Route(
         name=name,
@@ -199,7 +194,7 @@
                 location, f"unknown service {target.service!r}"
             )
     if sum(target.weight for target in targets) <= 0:
-        raise InvalidConfigurationError(location, "the weights add up to 0")
+        raise InvalidConfigurationError(location, "its weights add up to 0")
     return targets
 
 
@@ -217,7 +212,7 @@
 
 
 def _decode_service(item: dict[str, Any]) -> Service:
-    name = _get_text(item, "name", "service")
+    name = _get_text(item, "name", "a service")
     engine = item.get("engine")
     return Service(
         name=name,
@@ -230,7 +225,7 @@
 def _decode_engine(item: dict[str, Any]) -> EngineSpec:
     models = tuple(
         Model(
-            name=_get_text(model, "name", "model"),
+            name=_get_text(model, "name", "a model"),
             weights_mb=_get_number(model, "weights_mb"),
             load_seconds=_get_number(model, "load_time_s"),
             adapters=int(_get_number(model, "adapters")),
@@ -254,20 +249,20 @@
         customer = _decode_customer(item)
         location = f"tenant {customer.name}"
         if customer.name in customers:
-            raise InvalidConfigurationError(location, "defined twice")
+            raise InvalidConfigurationError(location, "named twice")
         customers[customer.name] = customer
         for digest in _decode_key_digests(item, location):
             holder = holders.setdefault(digest, customer)
             if holder is not customer:
                 raise InvalidConfigurationError(
                     f"{location}: api_keys",
-                    f"tenant {holder.name} has one of these keys too",
+                    f"tenant {holder.name} has one too",
                 )
     return Customers(tuple(customers.values()), holders)
 
 
 def _decode_customer(item: dict[str, Any]) -> Customer:
-    name = _get_text(item, "name", "tenant")
+    name = _get_text(item, "name", "a tenant")
     if not (name.isascii() and name.isprintable()):
         raise InvalidConfigurationError(
             f"tenant {name!r}: name", "not printable ASCII"
@@ -289,7 +284,7 @@
     if not all(_is_valid_key(key) for key in keys):
         raise InvalidConfigurationError(
             f"{location}: api_keys",
-            "not all keys are strings of 1 to "
+            "not all are texts of 1 to "
             f"{_MAX_KEY_CHARACTERS} visible ASCII characters",
         )
     return [digest_key(key.encode()) for key in keys]
@@ -310,7 +305,7 @@
     burst = _get_number(item, "burst")
     if min(rate, burst) < 0:
         raise InvalidConfigurationError(
-            f"{location}: rate_per_s and burst", "not 0 or more"
+            f"{location}: rate_per_s and burst", "not 0 or above"
         )
     unit = item.get("unit") or _QUOTA_UNITS[0]
     if unit not in _QUOTA_UNITS:
--- a/src/ridgesill/platform/control_calls.py
+++ b/src/ridgesill/platform/control_calls.py
@@ -55,7 +55,7 @@
         if path == LIMITS_PATH:
             return ListLimitsCall()
         if request.method != b"POST":
-            return BadCall(405, "method not allowed: send a POST request")
+            return BadCall(405, "expected POST")
         try:
             return self._read_post(path, request.body)
         except (InvalidConfigurationError, MalformedError) as error:
@@ -79,7 +79,7 @@
             return PutVersionCall(artifact, announced.version)
         if path.startswith(LIFT_PATH):
             return LiftQuarantineCall(path[len(LIFT_PATH) :])
-        return BadCall(404, f"unknown path, check the call: {path}")
+        return BadCall(404, f"no such call: {path}")
 
     def write(self, reply: CallReply) -> tuple[int, bytes]:
         """Encodes a reply as its HTTP status and JSON body."""
--- a/src/ridgesill/platform/upstreams.py
+++ b/src/ridgesill/platform/upstreams.py
@@ -107,10 +107,7 @@
         MalformedError: the text is not a valid identifier.
     """
     if not _IDENTIFIER.fullmatch(text):
-        raise MalformedError(
-            "identifier: expected 1 to 128 letters, digits or any of ._~-, "
-            f"got {text[:40]!r}"
-        )
+        raise MalformedError(f"identifier: not a name: {text[:40]!r}")
     return text
 
 
@@ -187,9 +184,7 @@
             f"address: {str(error)[:_MAX_DETAIL_CHARACTERS]}"
         ) from error
     if not 0 < port <= _MAX_PORT:
-        raise MalformedError(
-            f"address: expected a port from 1 to 65535, got {port}"
-        )
+        raise MalformedError(f"address: no port: {port}")
 
 
 def _collect_resident(models: list[_HeldModel]) -> dict[str, int]:
@@ -211,9 +206,7 @@
 def _split_name_and_version(field: str, entry: str) -> tuple[str, int]:
     """Splits NAME@VERSION; the version defaults to 1."""
     if not _NAME_AT_VERSION.fullmatch(entry):
-        raise MalformedError(
-            f"{field}: expected NAME@VERSION, got {entry[:40]!r}"
-        )
+        raise MalformedError(f"{field}: not NAME@VERSION: {entry[:40]!r}")
     name, _, version = entry.partition("@")
     return name, int(version or 1)
 
--- a/src/ridgesill/standin/engine.py
+++ b/src/ridgesill/standin/engine.py
@@ -155,12 +155,12 @@
         if adapter in self.resident:
             return
         if len(self.resident) + len(self._loading) >= self.model.slots:
-            raise OrderError("load: no free slot; unload an adapter first")
+            raise OrderError("no free slot")
         self._loading.add(adapter)
         try:
             await asyncio.sleep(self.model.load_seconds)
             if self._rng.random() < self.model.load_failure_share:
-                raise OrderError("load: simulated failure; repeat the order")
+                raise OrderError("the load failed")
         finally:
             self._loading.discard(adapter)
         self.resident.add(adapter)
@@ -179,7 +179,7 @@
             self.counts.unloads_in_use += 1
             self._journal("unload-in-use", adapter=adapter, epoch=epoch)
         for sequence in using:
-            self._abort(sequence, "its adapter was unloaded while in use")
+            self._abort(sequence, "its adapter was unloaded")
         self.resident.discard(adapter)
         self._journal("unload", adapter=adapter, epoch=epoch)
 
@@ -193,10 +193,7 @@
 
     def _check_epoch(self, epoch: int) -> None:
         if self.model.checks_epochs and epoch < self._epoch:
-            raise FencedError(
-                "order refused, only the current owner may send orders: "
-                f"epoch {epoch} is older than {self._epoch}"
-            )
+            raise FencedError(f"epoch {epoch} is older than {self._epoch}")
         self._epoch = max(self._epoch, epoch)
 
     # -- requests ------------------------------------------------------
--- a/src/ridgesill/standin/process.py
+++ b/src/ridgesill/standin/process.py
@@ -121,10 +121,7 @@
         elif path == "/v1/fence":
             self._engine.fence(epoch)
         else:
-            raise OrderError(
-                "no such order; expected /v1/load_lora_adapter, "
-                f"/v1/unload_lora_adapter or /v1/fence: {path}"
-            )
+            raise OrderError(f"no such order: {path}")
 
     def _run_on_loop(self, coroutine: Any) -> Any:
         return asyncio.run_coroutine_threadsafe(coroutine, self._loop).result()
